--- a/fanout/block.go
+++ b/fanout/block.go
@@ -2,44 +2,47 @@
 
 import "bytes"
 
-// Block is what one call brought for one or more shards.
+// Block is the reply to one call: the merged partial results of one or more
+// shards.
 type Block struct {
-	// Shards are the numbers of the shards, each once.
+	// Shards holds the shard numbers, without duplicates.
 	Shards []int
-	// Signatures are those of the parts, in the order of Shards.
+	// Signatures holds the signature of each shard's result, in the order of Shards.
 	Signatures []string
-	// Records holds the greatest records of the parts, in any order.
+	// Records holds the greatest records of the shards, in any order.
 	Records []byte
-	// Floor is set where records smaller than it were left out.
+	// Floor is set if records smaller than it were dropped.
 	Floor []byte
 }
 
-// Offer takes a block into the answer if that makes it hold more shards. Blocks
-// that share a shard with it are left out for it, and those whose floor then
-// lies above the smallest record of the answer.
+// Offer adds a block to the answer if that increases coverage, and reports
+// whether it did. Blocks that overlap it are replaced, and blocks whose floor
+// then exceeds the smallest record of the answer are dropped, since records
+// that they lack would belong in the answer.
 func (q *Query) Offer(b Block) bool {
 	if !q.anyCovered(b.Shards) {
 		return q.add(b)
 	}
-	return q.exchange(b)
+	return q.replaceOverlapping(b)
 }
 
-// add takes a block of shards that are not covered. The floors of the blocks
-// before stay true, as more records only raise the smallest one.
+// add adds a block whose shards are not covered yet. The floors of earlier
+// blocks remain valid, because more records only raise the smallest one.
 func (q *Query) add(b Block) bool {
 	best := Top(q.settings.Top, q.best, AtLeast(q.Floor(), b.Records))
-	if len(b.Floor) > 0 && len(sound(q.settings.Top, best, []Block{b})) == 0 {
+	if len(b.Floor) > 0 && len(withValidFloor(q.settings.Top, best, []Block{b})) == 0 {
 		return false
 	}
 	q.blocks = append(q.blocks, b)
 	q.best = best
-	q.mark(b.Shards)
+	q.markCovered(b.Shards)
 	return true
 }
 
-// exchange takes a block in place of those that share a shard with it.
-func (q *Query) exchange(b Block) bool {
-	blocks := settle(q.settings.Top, append(without(q.blocks, b.Shards), b))
+// replaceOverlapping substitutes a block for those that share a shard with it, if
+// that increases coverage.
+func (q *Query) replaceOverlapping(b Block) bool {
+	blocks := dropInvalidFloors(q.settings.Top, append(withoutShards(q.blocks, b.Shards), b))
 	count := 0
 	for _, kept := range blocks {
 		count += len(kept.Shards)
@@ -47,7 +50,7 @@
 	if count <= q.covered {
 		return false
 	}
-	q.replace(blocks)
+	q.setBlocks(blocks)
 	return true
 }
 
@@ -60,15 +63,15 @@
 	return false
 }
 
-// without returns the blocks that hold none of the shards.
-func without(blocks []Block, shards []int) []Block {
-	mine := make(map[int]bool, len(shards))
+// withoutShards returns the blocks that contain none of the shards.
+func withoutShards(blocks []Block, shards []int) []Block {
+	excluded := make(map[int]bool, len(shards))
 	for _, n := range shards {
-		mine[n] = true
+		excluded[n] = true
 	}
 	kept := make([]Block, 0, len(blocks)+1)
 	for _, b := range blocks {
-		if !overlaps(b, mine) {
+		if !overlaps(b, excluded) {
 			kept = append(kept, b)
 		}
 	}
@@ -84,11 +87,11 @@
 	return false
 }
 
-// settle returns the blocks without those of which a record is left out that
-// belongs among the greatest of all that are returned.
-func settle(top int, blocks []Block) []Block {
+// dropInvalidFloors removes blocks until the floor of every remaining one is
+// valid. Each removal can lower the smallest top record and so invalidate others.
+func dropInvalidFloors(top int, blocks []Block) []Block {
 	for {
-		kept := sound(top, merge(top, blocks), blocks)
+		kept := withValidFloor(top, mergeTop(top, blocks), blocks)
 		if len(kept) == len(blocks) {
 			return blocks
 		}
@@ -96,38 +99,39 @@
 	}
 }
 
-func (q *Query) replace(blocks []Block) {
+// setBlocks replaces all blocks and recomputes the top records and the coverage.
+func (q *Query) setBlocks(blocks []Block) {
 	q.blocks = blocks
-	q.best = merge(q.settings.Top, blocks)
+	q.best = mergeTop(q.settings.Top, blocks)
 	q.covered = 0
 	for i := range q.shards {
 		q.shards[i].covered = false
 	}
 	for _, b := range blocks {
-		q.mark(b.Shards)
+		q.markCovered(b.Shards)
 	}
 }
 
-func (q *Query) mark(shards []int) {
+func (q *Query) markCovered(shards []int) {
 	for _, n := range shards {
 		q.shards[n].covered = true
 	}
 	q.covered += len(shards)
 }
 
-// Answer is what a query gathered.
+// Answer is the merged result of a query.
 type Answer struct {
-	// Signatures are those of the parts that are in, in the order in which
-	// their blocks came.
+	// Signatures holds the signatures of the covered shards, in the order in
+	// which their blocks arrived.
 	Signatures []string
-	// Missing is the number of shards that are not in.
+	// Missing is the number of shards that are not covered.
 	Missing int
-	// Records are the greatest records, greatest first.
+	// Records holds the greatest records, greatest first.
 	Records []byte
 }
 
-// Floor returns the smallest record that a part still to come can bring into
-// the answer, or nil where any can.
+// Floor returns the smallest record that can still enter the answer, or nil if
+// any record can.
 func (q *Query) Floor() []byte {
 	if q.settings.Top <= 0 || len(q.best) < q.settings.Top*RecordSize {
 		return nil
@@ -135,7 +139,7 @@
 	return q.best[len(q.best)-RecordSize:]
 }
 
-// Answer returns the answer with the parts that came so far.
+// Answer returns the answer from the blocks received so far.
 func (q *Query) Answer() Answer {
 	a := Answer{
 		Signatures: make([]string, 0, q.covered),
@@ -148,7 +152,7 @@
 	return a
 }
 
-func merge(top int, blocks []Block) []byte {
+func mergeTop(top int, blocks []Block) []byte {
 	sources := make([][]byte, 0, len(blocks))
 	for _, b := range blocks {
 		sources = append(sources, b.Records)
@@ -156,9 +160,9 @@
 	return Top(top, sources...)
 }
 
-// sound returns the blocks of which no record is left out that belongs among
-// the greatest.
-func sound(top int, records []byte, blocks []Block) []Block {
+// withValidFloor returns the blocks that lack none of the top records: those
+// without a floor, or whose floor is at most the smallest of records.
+func withValidFloor(top int, records []byte, blocks []Block) []Block {
 	var smallest []byte
 	if len(records) >= top*RecordSize {
 		smallest = records[len(records)-RecordSize:]
@@ -172,7 +176,7 @@
 	return kept
 }
 
-// MissingShards returns the numbers of the shards that are not in.
+// MissingShards returns the numbers of the shards that are not covered.
 func (q *Query) MissingShards() []int {
 	var missing []int
 	for n := range q.shards {
--- a/fanout/doc.go
+++ b/fanout/doc.go
@@ -1,13 +1,12 @@
-// Package fanout decides about one query over a named set of shards: which
-// shards need an attempt, when a second one is due, when the answer goes out,
-// and which parts it holds.
+// Package fanout tracks the fan-out of one query over a set of shards: which
+// shards need an attempt, when a retry or a hedge is due, when the query is
+// finished, and which partial results its answer contains.
 //
-// Parts come in blocks. A block is what one call brought: the parts of one or
-// more shards, merged on the way to their greatest records. A block cannot be
-// taken apart, so an answer is made of blocks that share no shard.
+// Partial results arrive in blocks. A block is the reply to one call: the
+// results of one or more shards, merged on the way into their top records. A
+// block cannot be split, so an answer consists of blocks with disjoint shards.
 //
-// Invariants: an answer holds each shard at most once and names exactly the
+// Invariants: an answer contains each shard at most once and names exactly the
 // shards of its blocks; its records are the greatest of all records of those
-// shards; a shard gets at most MaxAttempts attempts; a part that came is never
-// given up for an answer with fewer shards.
+// shards; a shard gets at most MaxAttempts attempts; coverage never decreases.
 package fanout
--- a/fanout/query.go
+++ b/fanout/query.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Settings bound one query.
+// Settings holds the limits of one query.
 type Settings struct {
-	// Shards is the number of shards; they are numbered from 0.
+	// Shards is the number of shards, which are numbered from 0.
 	Shards int
 	// Top is the number of records of an answer.
 	Top int
-	// MinShare is the least share of the shards (0 to 1) of an answer.
+	// MinShare is the minimum share of the shards (0 to 1) in an answer.
 	MinShare float64
-	// MaxAttempts is the number of attempts that one shard may get.
+	// MaxAttempts is the maximum number of attempts per shard.
 	MaxAttempts int
-	// AnswerAt is when an answer with MinShare of the shards goes out although
-	// others are still awaited.
+	// AnswerAt is when an answer that covers MinShare is returned without waiting
+	// for the remaining shards.
 	AnswerAt time.Time
-	// End is when the query ends, with or without an answer.
+	// End is the deadline, at which the query ends with or without an answer.
 	End time.Time
 }
 
 type shard struct {
 	attempts int
 	running  int
-	// arrived tells that an attempt may have reached a server.
-	arrived bool
-	// nextAt is when another attempt may be made: while one runs, a hedge, and
-	// never at the zero time; otherwise a retry.
+	// reached is set if an attempt may have reached a server.
+	reached bool
+	// nextAt is when the next attempt may be made: a hedge while one is in flight
+	// (the zero time means never), a retry otherwise.
 	nextAt  time.Time
 	covered bool
 	closed  bool
@@ -39,27 +39,27 @@
 	settings Settings
 	shards   []shard
 	blocks   []Block
-	// best are the greatest records of the blocks, greatest first.
+	// best holds the greatest records of the blocks, greatest first.
 	best    []byte
 	covered int
 }
 
-// New returns a query to which no attempt was made.
+// New returns a query without attempts.
 func New(settings Settings) *Query {
 	return &Query{settings: settings, shards: make([]shard, settings.Shards)}
 }
 
-// Sent notes an attempt for a shard. hedgeAt is when another one is due if
-// this one has not ended; the zero time is never.
+// Sent records that an attempt for a shard was sent. A hedge is due at hedgeAt if
+// the attempt has not ended by then; the zero time means never.
 func (q *Query) Sent(n int, hedgeAt time.Time) {
 	s := &q.shards[n]
 	s.attempts++
 	s.running++
-	s.arrived = true
+	s.reached = true
 	s.nextAt = hedgeAt
 }
 
-// Ended notes that an attempt of a shard ended.
+// Ended records that an attempt for a shard ended.
 func (q *Query) Ended(n int) {
 	s := &q.shards[n]
 	s.running--
@@ -68,65 +68,67 @@
 	}
 }
 
-// Refused notes that a server refused an attempt without running it. It does
-// not count towards MaxAttempts, but the next one is an extra one.
+// Refused records that a server refused an attempt without running it. The
+// attempt does not count towards MaxAttempts, but the next one counts as a retry.
 func (q *Query) Refused(n int) {
 	q.Ended(n)
 	q.shards[n].attempts--
 }
 
-// NotSent notes that an attempt ended and never reached a server, so that it
-// does not count.
+// NotSent records that an attempt ended without reaching a server. It does not
+// count as an attempt.
 func (q *Query) NotSent(n int) {
 	q.Refused(n)
 	s := &q.shards[n]
-	s.arrived = s.attempts > 0
+	s.reached = s.attempts > 0
 }
 
-// Later puts off the next attempt of a shard, which cannot be made now.
+// Later sets when the next attempt for a shard may be made.
 func (q *Query) Later(n int, at time.Time) { q.shards[n].nextAt = at }
 
-// GiveUp notes that a shard gets no more attempts.
+// GiveUp closes a shard: it gets no more attempts.
 func (q *Query) GiveUp(n int) { q.shards[n].closed = true }
 
-// Covered reports whether a shard is in the answer so far.
+// Covered reports whether the answer contains a shard so far.
 func (q *Query) Covered(n int) bool { return q.shards[n].covered }
 
-// Running returns the number of attempts of a shard that have not ended.
+// Running returns the number of attempts in flight for a shard.
 func (q *Query) Running(n int) int { return q.shards[n].running }
 
-// CoveredCount returns the number of shards in the answer so far.
+// CoveredCount returns the number of shards that the answer contains so far.
 func (q *Query) CoveredCount() int { return q.covered }
 
-// Attempts tells how far the query is with the attempts of a shard at now.
+// Attempts returns the state of a shard at now: whether an attempt is in flight,
+// whether one may be sent, and whether the shard gets no more.
 func (q *Query) Attempts(n int, now time.Time) (running, waiting, closed bool) {
 	s := &q.shards[n]
 	closed = s.closed || s.attempts >= q.settings.MaxAttempts && s.running == 0
 	return s.running > 0, s.running == 0 && !closed && !now.Before(s.nextAt), closed
 }
 
-// Needed returns the number of shards that an answer must hold.
+// Needed returns the minimum number of shards in an answer.
 func (q *Query) Needed() int {
 	return max(1, int(math.Ceil(q.settings.MinShare*float64(q.settings.Shards))))
 }
 
-// Slept takes in that the machine was suspended for a time, which the clock did not count.
+// Slept moves the deadlines earlier by d, the time that the machine was suspended
+// and that its monotonic clock did not count.
 func (q *Query) Slept(d time.Duration) {
 	q.settings.AnswerAt, q.settings.End = q.settings.AnswerAt.Add(-d), q.settings.End.Add(-d)
 }
 
-// Need is a shard that another attempt may be made for.
+// Need is a shard that may get another attempt.
 type Need struct {
 	Shard int
-	// Hedge tells that an attempt is still running.
+	// Hedge is set if an attempt is still in flight.
 	Hedge bool
-	// First tells that no attempt has reached a server.
+	// First is set if no attempt can have reached a server.
 	First bool
 }
 
 // Needs returns the shards that may get another attempt at now: those with no
-// attempt running, and those whose attempt has run for so long that a second
-// one is due.
+// attempt in flight, and those whose hedge is due. It closes shards that have
+// used all their attempts.
 func (q *Query) Needs(now time.Time) []Need {
 	var needs []Need
 	for n := range q.shards {
@@ -141,7 +143,7 @@
 		if now.Before(s.nextAt) || (s.running > 0 && s.nextAt.IsZero()) {
 			continue
 		}
-		needs = append(needs, Need{Shard: n, Hedge: s.running > 0, First: !s.arrived})
+		needs = append(needs, Need{Shard: n, Hedge: s.running > 0, First: !s.reached})
 	}
 	return needs
 }
@@ -152,33 +154,33 @@
 	}
 }
 
-// Enough reports whether the answer so far holds the least share of shards.
+// Enough reports whether the answer covers MinShare of the shards so far.
 func (q *Query) Enough() bool {
 	return q.covered >= q.Needed()
 }
 
-// Finished reports whether the query ends at now: all shards are in or have
-// ended, enough are and it is time to answer, or the time is up.
+// Finished reports whether the query ends at now: no shard is pending, enough
+// shards are covered and AnswerAt has passed, or End has passed.
 func (q *Query) Finished(now time.Time) bool {
-	if !now.Before(q.settings.End) || q.open() == 0 {
+	if !now.Before(q.settings.End) || q.pending() == 0 {
 		return true
 	}
 	return q.Enough() && !now.Before(q.settings.AnswerAt)
 }
 
-// open returns the number of shards that may still come.
-func (q *Query) open() int {
-	open := 0
+// pending returns the number of shards that are not covered yet but can be.
+func (q *Query) pending() int {
+	pending := 0
 	for i := range q.shards {
 		s := &q.shards[i]
 		if !s.covered && (!s.closed || s.running > 0) {
-			open++
+			pending++
 		}
 	}
-	return open
+	return pending
 }
 
-// Next returns when the query must be looked at again if nothing comes before.
+// Next returns when the query must be re-evaluated if no event occurs earlier.
 func (q *Query) Next(now time.Time) time.Time {
 	next := q.settings.End
 	if q.settings.AnswerAt.After(now) && q.settings.AnswerAt.Before(next) {
--- a/fanout/query_test.go
+++ b/fanout/query_test.go
@@ -25,16 +25,16 @@
 	})
 }
 
-func one(n int, records string) fanout.Block {
+func singleShardBlock(n int, records string) fanout.Block {
 	return fanout.Block{Shards: []int{n}, Signatures: []string{fmt.Sprint("s", n)}, Records: []byte(records)}
 }
 
-func TestAnswersWhenAllAreIn(t *testing.T) {
+func TestFinishesWhenAllShardsAreCovered(t *testing.T) {
 	q := newQuery(2)
 	for n := range 2 {
 		q.Sent(n, after(30))
 		assert.Assert(t, !q.Finished(after(1)))
-		assert.Assert(t, q.Offer(one(n, "0123456789abcdef")))
+		assert.Assert(t, q.Offer(singleShardBlock(n, "0123456789abcdef")))
 		q.Ended(n)
 	}
 	assert.Assert(t, q.Finished(after(2)))
@@ -44,11 +44,11 @@
 	assert.Equal(t, string(a.Records), "0123456789abcdef0123456789abcdef")
 }
 
-func TestPartialAnswerGoesOutInTime(t *testing.T) {
+func TestPartialAnswerFinishesAtAnswerAt(t *testing.T) {
 	q := newQuery(2)
 	q.Sent(0, time.Time{})
 	q.Sent(1, time.Time{})
-	q.Offer(one(0, ""))
+	q.Offer(singleShardBlock(0, ""))
 	q.Ended(0)
 	assert.Assert(t, !q.Finished(after(79)))
 	assert.Equal(t, q.Next(after(1)), after(80))
@@ -57,18 +57,18 @@
 	assert.DeepEqual(t, q.MissingShards(), []int{1})
 }
 
-func TestWithoutEnoughPartsItWaitsToTheEnd(t *testing.T) {
+func TestWaitsForMinShareAfterAnswerAt(t *testing.T) {
 	q := newQuery(4)
 	for n := range 4 {
 		q.Sent(n, time.Time{})
 	}
-	q.Offer(one(0, ""))
+	q.Offer(singleShardBlock(0, ""))
 	assert.Assert(t, !q.Finished(after(900)))
-	q.Offer(one(1, ""))
-	assert.Assert(t, q.Finished(after(900)), "late, but enough now")
+	q.Offer(singleShardBlock(1, ""))
+	assert.Assert(t, q.Finished(after(900)), "MinShare reached after AnswerAt")
 }
 
-func TestSecondAttempts(t *testing.T) {
+func TestRetriesAndHedges(t *testing.T) {
 	q := newQuery(2)
 	q.Sent(0, after(30))
 	q.Sent(1, after(40))
@@ -78,7 +78,7 @@
 	assert.DeepEqual(t, q.Needs(after(20)), []fanout.Need{{Shard: 1}})
 	q.Sent(1, time.Time{})
 	q.Ended(1)
-	assert.Equal(t, len(q.Needs(after(20))), 0, "two attempts are all it gets")
+	assert.Equal(t, len(q.Needs(after(20))), 0, "MaxAttempts used up")
 	q.NotSent(0)
 	assert.DeepEqual(t, q.Needs(after(20)), []fanout.Need{{Shard: 0, First: true}})
 	q.Later(0, after(25))
@@ -88,12 +88,12 @@
 	assert.Assert(t, q.Finished(after(20)))
 }
 
-func TestAMergedBlockReplacesPartsOfItsShards(t *testing.T) {
+func TestMergedBlockReplacesOverlappingBlock(t *testing.T) {
 	q := newQuery(3)
-	q.Offer(one(0, ""))
+	q.Offer(singleShardBlock(0, ""))
 	assert.Assert(t, q.Offer(fanout.Block{Shards: []int{0, 1}, Signatures: []string{"t0", "t1"}}))
-	assert.Assert(t, !q.Offer(one(1, "")), "a part that is in already")
-	assert.Assert(t, q.Offer(one(2, "")))
+	assert.Assert(t, !q.Offer(singleShardBlock(1, "")), "shard already covered")
+	assert.Assert(t, q.Offer(singleShardBlock(2, "")))
 	assert.DeepEqual(t, q.Answer().Signatures, []string{"t0", "t1", "s2"})
 }
 
@@ -102,20 +102,20 @@
 	low, high := []byte("record-000000001"), []byte("record-000000009")
 	q.Offer(fanout.Block{Shards: []int{0}, Signatures: []string{"a"}, Records: slices.Concat(high, low)})
 	assert.DeepEqual(t, q.Floor(), low)
-	assert.Assert(t, newQuery(1).Floor() == nil, "any record can still count")
+	assert.Assert(t, newQuery(1).Floor() == nil, "no floor with fewer than Top records")
 	assert.Equal(t, string(fanout.AtLeast(high, slices.Concat(low, high))), string(high))
 	q.Offer(fanout.Block{Shards: []int{1}, Signatures: []string{"b"}, Floor: low})
 	assert.Equal(t, q.Answer().Missing, 1)
-	// The block that the floor came from is exchanged for one with smaller
-	// records: what was left out would count now.
+	// The block that set the floor is replaced by one with fewer records, so that
+	// the records dropped below the floor would count.
 	q.Offer(fanout.Block{Shards: []int{0, 2}, Signatures: []string{"c", "d"}, Records: high})
 	a := q.Answer()
-	assert.Equal(t, q.CoveredCount(), 3-a.Missing, "what counts towards the least share is in the answer")
+	assert.Equal(t, q.CoveredCount(), 3-a.Missing, "coverage matches the answer")
 	assert.Equal(t, a.Missing, 1)
 }
 
-// Whatever blocks come, each shard is in at most once and coverage never
-// falls; the records are the greatest of the blocks named.
+// For any blocks, the answer contains each shard at most once, coverage never
+// decreases, and the records are the greatest of the shards named.
 func TestAnswersAreTrue(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		shards := rapid.IntRange(1, 8).Draw(rt, "shards")
@@ -138,7 +138,7 @@
 			}
 			q.Offer(block)
 			if q.CoveredCount() < covered {
-				rt.Fatalf("coverage fell from %d to %d", covered, q.CoveredCount())
+				rt.Fatalf("coverage decreased from %d to %d", covered, q.CoveredCount())
 			}
 			covered = q.CoveredCount()
 			floors = append(floors, q.Floor())
@@ -150,7 +150,7 @@
 			var n, i int
 			_, _ = fmt.Sscanf(s, "%d/%d", &n, &i)
 			if seen[fmt.Sprint(n)] {
-				rt.Fatalf("shard %d is in twice", n)
+				rt.Fatalf("shard %d is in the answer twice", n)
 			}
 			seen[fmt.Sprint(n)] = true
 			for r := offered[s]; len(r) >= fanout.RecordSize; r = r[fanout.RecordSize:] {
@@ -206,8 +206,8 @@
 	// true [part-0] 1
 }
 
-// While most servers refused, every query once took from the budget alike, and
-// most ended just below the least share.
+// Guards against queries sharing the retry budget equally in an overload, which
+// leaves most of them just below MinShare.
 func TestBudgetGoesFirstToQueriesThatLackLittle(t *testing.T) {
 	extra := func(covered, running int, now time.Time) float64 {
 		q := fanout.New(fanout.Settings{Shards: 20, Top: 1, MinShare: 0.9, MaxAttempts: 2, AnswerAt: start.Add(time.Second), End: start.Add(time.Minute)})
@@ -220,12 +220,12 @@
 		}
 		return q.ExtraShare(now)
 	}
-	assert.Equal(t, extra(10, 6, start), 1.0, "two lack")
-	assert.Equal(t, extra(15, 0, start), 1.0, "three lack")
+	assert.Equal(t, extra(10, 6, start), 1.0, "two shards lacking")
+	assert.Equal(t, extra(15, 0, start), 1.0, "three shards lacking")
 	assert.Assert(t, extra(12, 0, start) < extra(15, 0, start))
-	assert.Assert(t, extra(0, 0, start) >= 0.5, "none is left out altogether")
-	assert.Assert(t, extra(18, 0, start) < 1, "it has enough")
+	assert.Assert(t, extra(0, 0, start) >= 0.5, "minimum share")
+	assert.Assert(t, extra(18, 0, start) < 1, "MinShare covered")
 	late := extra(17, 0, start.Add(2*time.Second))
-	assert.Assert(t, late < extra(17, 0, start), "those in time go first")
-	assert.Assert(t, late > extra(18, 0, start), "a late answer goes before a fuller one")
+	assert.Assert(t, late < extra(17, 0, start), "queries before AnswerAt go first")
+	assert.Assert(t, late > extra(18, 0, start), "an overdue answer goes before more coverage")
 }
--- a/fanout/top.go
+++ b/fanout/top.go
@@ -8,11 +8,11 @@
 // RecordSize is the size of a record, in bytes.
 const RecordSize = 16
 
-// record is one record; records compare byte by byte.
+// record is a fixed-size record. Records are ordered bytewise.
 type record [RecordSize]byte
 
-// AtLeast returns the records of a source that are not smaller than floor. An
-// empty floor keeps all.
+// AtLeast returns the records of source that are not smaller than floor. An empty
+// floor keeps all of them.
 func AtLeast(floor, source []byte) []byte {
 	if len(floor) == 0 {
 		return source
@@ -26,9 +26,8 @@
 	return kept
 }
 
-// Top returns the n greatest records of all sources, greatest first. Equal
-// ones all count. The rest of a source that is shorter than a record is not a
-// record.
+// Top returns the n greatest records of all sources, greatest first, including
+// duplicates. Trailing bytes of a source that do not fill a record are ignored.
 func Top(n int, sources ...[]byte) []byte {
 	total := 0
 	for _, s := range sources {
@@ -48,5 +47,5 @@
 	return top
 }
 
-// compareRecords orders the greatest first.
+// compareRecords sorts records in descending order.
 func compareRecords(a, b record) int { return bytes.Compare(b[:], a[:]) }
--- a/fanout/trimmer.go
+++ b/fanout/trimmer.go
@@ -1,21 +1,21 @@
 package fanout
 
-// Trimmer merges parts that are sent on in several batches to one receiver. Of
-// each batch it leaves out the records that cannot be among the greatest, given
-// the batches before it. It is not safe for concurrent use.
+// Trimmer merges partial results that are forwarded to one receiver in several
+// batches. From each batch it drops the records that the earlier batches exclude
+// from the top records. It is not safe for concurrent use.
 type Trimmer struct {
 	top   int
 	floor []byte
-	// best are the greatest records sent so far.
+	// best holds the greatest records sent so far.
 	best []byte
 }
 
-// NewTrimmer returns a trimmer for the top greatest records. The receiver has no
-// use for records smaller than floor; an empty floor leaves none out.
+// NewTrimmer returns a trimmer for the top greatest records. It drops records
+// smaller than floor; an empty floor drops none.
 func NewTrimmer(top int, floor []byte) *Trimmer { return &Trimmer{top: top, floor: floor} }
 
-// Batch returns the records of the next parts that can count, greatest first,
-// and the floor below which some were left out; it is empty where none were.
+// Batch merges the next parts. It returns their top records, greatest first, and
+// the floor below which records were dropped, or an empty floor if none were.
 func (t *Trimmer) Batch(parts ...[]byte) (records, floor []byte) {
 	floor = t.floor
 	kept := make([][]byte, len(parts))
--- a/fanout/trimmer_test.go
+++ b/fanout/trimmer_test.go
@@ -10,7 +10,7 @@
 	"github.com/mallowgap/mallowgap/fanout"
 )
 
-// Whatever the batches, the greatest of what is sent are the greatest of all.
+// The top records of all batches must equal the top records of all parts.
 func TestTrimmedBatchesHoldTheGreatest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		top := rapid.IntRange(1, 6).Draw(rt, "top")
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestTrimmerLeavesOutWhatCannotCount(t *testing.T) {
+func TestTrimmerDropsRecordsBelowFloor(t *testing.T) {
 	trimmer := fanout.NewTrimmer(2, nil)
 	records, floor := trimmer.Batch([]byte("record-000000005record-000000004record-000000001"))
 	assert.Equal(t, string(records), "record-000000005record-000000004")
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -46,7 +46,7 @@
 TestInvariantConfiguration@config/editor.go@s/(return 0, fmt.Errorf\("%w \(%v\)", ErrUnknown, err\)\n\t\}\n)\tif revision, done := acceptedAs\(head, changeID\); done \{\n\t\treturn revision, nil\n\t\}\n/$1/@a change that landed is called a conflict
 TestHolderNeverGoesBack@route/table.go@s/config.Version <= h.table.Version\(\)/config.Version == h.table.Version()/@an older configuration of the platform is put in force
 TestAnswersAreTrue@fanout/block.go@s/if !q.anyCovered\(b.Shards\) \{/if true {/@a shard is in an answer twice
-TestFloorLeavesOutWhatCannotCount@fanout/block.go@s/blocks := settle\(q.settings.Top, (.*)\)\n/blocks := $1\n/@a block whose floor does not hold is counted
+TestFloorLeavesOutWhatCannotCount@fanout/block.go@s/blocks := dropInvalidFloors\(q.settings.Top, (.*)\)\n/blocks := $1\n/@a block whose floor does not hold is counted
 TestServersLapsedInAnOutageServeUntilTheStoreIsBack@discovery/registry.go@s/if r.away \|\| now.Before\(r.trustFrom\) \{\n\t\te.missing/if false {\n\t\te.missing/@entries that lapse in an outage are gone at once
 TestUnreachableServersEarnNoBudget@internal/gateway/attempt.go@s/if !q.counted\[need.Shard\] \{/if kind == firstAttempt {/@tries that reach nobody earn budget
 TestNotRepeatableRequestIsSentOnce@internal/gateway/query.go@s/if !q.mayHaveRun && !q.running\(\) &&/if/@a request that may have run is called not run
@@ -74,7 +74,7 @@
 TestRequestWaitsForTheStartOfItsHost@internal/gateway/serve.go@s/startWait = 150/startWait = 0/@a starting host refuses every request
 TestOversizedRequestsAreRefused@internal/gateway/serve.go@s/r.HeaderBytes > limits.HeaderBytes/false/@headers of any size are taken
 TestBodyIsReadUpToTheConfiguredLimit@platform/caller.go@s/most := limits.BodyBytes/most := 0/@a body is read beyond the limit
-TestBudgetGoesFirstToQueriesThatLackLittle@fanout/extra.go@s/lackingStep     = 0.1/lackingStep     = 0.0/@all queries take from the budget alike
+TestBudgetGoesFirstToQueriesThatLackLittle@fanout/extra.go@s/shareStep        = 0.1/shareStep        = 0.0/@all queries take from the budget alike
 TestPackedRepliesComeBack@internal/gateway/relaywire.go@s/(func unpackReply.*?)!= relaypb.Outcome_PART/$1== relaypb.Outcome_NOT_SENT/s@signatures go to results that are no parts
 TestForgottenConnectionsAreNotUsed@internal/peer/client.go@s/_ = conn.Close\(\) \/\/ Nothing/defer c.pool.Put(address, conn) \/\/ Nothing/@silent connections are kept
 TestHostsDoNotGoBackToOneThatLostTheStore@internal/control/follow.go@s/now.Add\(heldOffFor \+ rand.N\(heldOffFor\/2\)\)/now/@a host that lost the store is followed again at once
