--- a/route/config.go
+++ b/route/config.go
@@ -2,76 +2,77 @@
 
 import "time"
 
-// Config is one version of the configuration.
+// Config is one version of the routing configuration.
 type Config struct {
-	// Version orders configurations; a higher one is newer.
+	// Version orders configurations; a higher version is newer.
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
 }
 
-// Route says what serves the requests of one host name and path prefix.
+// Route describes how the requests for one host name and path prefix are served.
 type Route struct {
 	Name string
-	// Host is the host name of the request, without a port.
+	// Host is the host name of the requests, without a port.
 	Host string
-	// Prefix begins the paths of the route; it begins and ends with a slash.
+	// Prefix is the path prefix of the requests. It begins and ends with a slash.
 	Prefix string
-	// Idempotent requests may run more than once.
+	// Idempotent is set if a request may run more than once.
 	Idempotent bool
-	// Timeout is the longest time for which a request is kept waiting.
+	// Timeout is the maximum time until a request is answered.
 	Timeout time.Duration
-	// Objective is the time within which an answer has its full worth.
+	// Objective is the latency objective; 0 means none. See Goal.
 	Objective time.Duration
-	// Priority is the rank of the route; 0 is the highest.
+	// Priority is the priority of the route; 0 is the highest. See Rank.
 	Priority int
-	// MaxAttempts is the number of servers that one request may be sent to; for
-	// a query it counts for each shard.
+	// MaxAttempts is the maximum number of servers that one request is sent to. For
+	// a query, it applies to each shard.
 	MaxAttempts int
-	// Targets are the services that share the requests; empty for a query.
+	// Targets are the services that the requests are split among; empty for a query.
 	Targets []Target
-	// Query is set where requests are spread over a set of shards.
+	// Query is set if a request fans out to a set of shards.
 	Query *Query
-	// Homes are the regions in which a request may be served or held.
+	// Homes are the regions whose servers and hosts may see a request.
 	Homes Homes
 }
 
-// Target is one of the services of a route, with its share of the requests.
+// Target is a service of a route and its weight in the split of the requests.
 type Target struct {
 	Service string
 	Weight  float64
 }
 
-// Query describes an answer that is gathered from many shards.
+// Query describes an answer that is merged from several shards.
 type Query struct {
-	// Shards are the services that hold the parts of the index.
+	// Shards are the services that hold the shards of the index.
 	Shards []string
 	// Top is the number of records in an answer.
 	Top int
-	// MinShare is the least share of the shards (0 to 1) of an answer.
+	// MinShare is the minimum share of the shards (0 to 1) in an answer.
 	MinShare float64
 }
 
-// Service is a group of servers that answer alike.
+// Service is a group of interchangeable servers.
 type Service struct {
 	Name string
-	// MaxConns is the number of connections that one server accepts from all
-	// hosts together; 0 is unknown.
+	// MaxConns is the maximum number of connections that one server accepts from
+	// all hosts together; 0 means unknown.
 	MaxConns int
-	// ColdFor is for how long a server is cold after its start; 0 is unknown.
+	// ColdFor is how long a server is cold after its start; 0 means unknown.
 	ColdFor time.Duration
-	// ColdPerSecond is the number of requests a second that a cold server tolerates from
-	// all hosts together; 0 is unknown, and no bound.
+	// ColdPerSecond is the maximum request rate (per second) that a cold server
+	// accepts from all hosts together; 0 means unknown and sets no limit.
 	ColdPerSecond float64
-	// Odd names the fields of the service that could not be read; they are unknown.
+	// Odd names the fields of the service that could not be decoded. They are treated
+	// as unknown.
 	Odd []string
 }
 
-// Limits bound what a caller may send; 0 is no bound.
+// Limits bounds what a caller may send; 0 means no limit.
 type Limits struct {
-	// HeaderBytes bounds the header of a request, BodyBytes its body.
+	// HeaderBytes and BodyBytes limit the size of a request's header and body.
 	HeaderBytes, BodyBytes int
-	// IdleTimeout is for how long a caller's connection may stay unused.
+	// IdleTimeout is how long a caller's connection may stay idle.
 	IdleTimeout time.Duration
 }
--- a/route/doc.go
+++ b/route/doc.go
@@ -1,8 +1,9 @@
-// Package route holds a versioned configuration of routes: which service, or
-// which set of shards, serves a request of a given host name and path.
+// Package route maps the host name and path of a request to the service, or the
+// set of shards, that serves it. The mapping is a versioned configuration.
 //
-// Invariants: a Holder never goes back to an older version. Of the routes of a
-// host the one with the longest matching prefix serves the request. A Table is
-// immutable, so a request that keeps one sees a single version from its start
-// to its end. Homes says which regions may see the requests of a route.
+// Invariants: a Holder never returns to an older version. Among the routes of a
+// host name, the one with the longest matching prefix serves the request. The
+// configuration of a Table is immutable, so a request that keeps its Table sees
+// one version throughout. Homes restricts the regions that may see the requests
+// of a route.
 package route
--- a/route/homes.go
+++ b/route/homes.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// Homes are the regions that may see the requests of a route; none is any region.
+// Homes lists the regions that may see the requests of a route; an empty list
+// allows any region.
 type Homes []string
 
-// Allow reports whether a server or host of a region may see a request. Where the region
-// is not known ("") only a request without homes goes there.
+// Allow reports whether a server or host in a region may see a request. An unknown
+// region ("") is allowed only if there are no homes.
 func (h Homes) Allow(region string) bool {
 	return len(h) == 0 || region != "" && slices.Contains(h, region)
 }
 
-// String lists the regions for logs.
+// String returns the regions as a comma-separated list.
 func (h Homes) String() string { return strings.Join(h, ", ") }
--- a/route/homes_test.go
+++ b/route/homes_test.go
@@ -9,10 +9,10 @@
 )
 
 func TestHomesAllow(t *testing.T) {
-	assert.Assert(t, route.Homes(nil).Allow("a") && route.Homes{}.Allow(""), "without homes any region may see a request")
+	assert.Assert(t, route.Homes(nil).Allow("a") && route.Homes{}.Allow(""), "an empty list allows any region")
 	homes := route.Homes{"a", "b"}
 	assert.Assert(t, homes.Allow("a") && homes.Allow("b"))
-	assert.Assert(t, !homes.Allow("c") && !homes.Allow(""), "a region that is not known is no home")
-	assert.Assert(t, !route.Homes{""}.Allow(""), "an empty name is no region")
+	assert.Assert(t, !homes.Allow("c") && !homes.Allow(""), "other and unknown regions are not allowed")
+	assert.Assert(t, !route.Homes{""}.Allow(""), "an empty home does not match an unknown region")
 	assert.Equal(t, homes.String(), "a, b")
 }
--- a/route/table.go
+++ b/route/table.go
@@ -8,31 +8,32 @@
 	"sync"
 )
 
-// Table finds the route of a request in one configuration. It is immutable but
-// for the position of its splits and safe for concurrent use.
+// Table finds the route of a request in one configuration. It is immutable except
+// for the state of its round robins, and safe for concurrent use.
 type Table struct {
 	config   Config
 	byHost   map[string][]*Entry
 	services map[string]Service
 	shards   map[string]bool
-	sets     [][]string
-	names    map[string]bool
+	// shardSets holds the distinct shard sets of the queries.
+	shardSets  [][]string
+	routeNames map[string]bool
 }
 
 // Entry is a route of a table.
 type Entry struct {
 	Route
-	split split
-	// Spare is, of a query, the number of shards that an answer may lack to any query
-	// over the same shards.
+	split roundRobin
+	// Spare is, for a query, the number of shards that the answer to any query over
+	// the same shards may lack.
 	Spare int
 }
 
 // NewTable returns the table of a valid configuration.
 func NewTable(config Config) *Table {
-	t := &Table{config: config, byHost: map[string][]*Entry{}, services: map[string]Service{}, shards: map[string]bool{}, names: map[string]bool{}}
+	t := &Table{config: config, byHost: map[string][]*Entry{}, services: map[string]Service{}, shards: map[string]bool{}, routeNames: map[string]bool{}}
 	for _, r := range config.Routes {
-		t.names[r.Name] = true
+		t.routeNames[r.Name] = true
 		t.addShards(r.Query)
 		e := &Entry{Route: r}
 		e.split.current = make([]float64, len(r.Targets))
@@ -44,25 +45,25 @@
 	for _, s := range config.Services {
 		t.services[s.Name] = s
 	}
-	t.setSpare()
+	t.computeSpare()
 	return t
 }
 
-// setSpare works out what each query may lack.
-func (t *Table) setSpare() {
-	least := make([]int, len(t.sets))
-	for i, set := range t.sets {
-		least[i] = len(set)
+// computeSpare sets Spare of each query.
+func (t *Table) computeSpare() {
+	minSpare := make([]int, len(t.shardSets))
+	for i, set := range t.shardSets {
+		minSpare[i] = len(set)
 		for _, r := range t.config.Routes {
 			if r.Query != nil && slices.Equal(r.Query.Shards, set) {
-				least[i] = min(least[i], len(set)-int(math.Ceil(r.Query.MinShare*float64(len(set)))))
+				minSpare[i] = min(minSpare[i], len(set)-int(math.Ceil(r.Query.MinShare*float64(len(set)))))
 			}
 		}
 	}
 	for _, entries := range t.byHost {
 		for _, e := range entries {
 			if e.Query != nil {
-				e.Spare = least[slices.IndexFunc(t.sets, func(set []string) bool { return slices.Equal(set, e.Query.Shards) })]
+				e.Spare = minSpare[slices.IndexFunc(t.shardSets, func(set []string) bool { return slices.Equal(set, e.Query.Shards) })]
 			}
 		}
 	}
@@ -72,22 +73,22 @@
 	if q == nil {
 		return
 	}
-	if !slices.ContainsFunc(t.sets, func(set []string) bool { return slices.Equal(set, q.Shards) }) {
-		t.sets = append(t.sets, q.Shards)
+	if !slices.ContainsFunc(t.shardSets, func(set []string) bool { return slices.Equal(set, q.Shards) }) {
+		t.shardSets = append(t.shardSets, q.Shards)
 	}
 	for _, shard := range q.Shards {
 		t.shards[shard] = true
 	}
 }
 
-// ShardSets returns the different sets of shards of the queries.
-func (t *Table) ShardSets() [][]string { return t.sets }
+// ShardSets returns the distinct sets of shards of the queries.
+func (t *Table) ShardSets() [][]string { return t.shardSets }
 
-// IsShard reports whether a service is a shard of some query.
+// IsShard reports whether a service is a shard of a query.
 func (t *Table) IsShard(service string) bool { return t.shards[service] }
 
-// HasRoute reports whether a route of the name exists.
-func (t *Table) HasRoute(name string) bool { return t.names[name] }
+// HasRoute reports whether a route with the name exists.
+func (t *Table) HasRoute(name string) bool { return t.routeNames[name] }
 
 // Version returns the version of the configuration.
 func (t *Table) Version() uint64 { return t.config.Version }
@@ -95,8 +96,8 @@
 // Limits returns the limits of the configuration.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// Service returns a service of the configuration; a service that it does not
-// describe has only its name.
+// Service returns the named service. If the configuration does not describe it,
+// only its name is set.
 func (t *Table) Service(name string) Service {
 	s, ok := t.services[name]
 	if !ok {
@@ -105,8 +106,8 @@
 	return s
 }
 
-// Match returns the route of a request, or nil. A port behind the host name
-// does not count.
+// Match returns the route of a request, or nil if there is none. A port in host is
+// ignored.
 func (t *Table) Match(host, path string) *Entry {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -119,8 +120,8 @@
 	return nil
 }
 
-// Choose returns the service for the next request of a route with targets. The
-// requests are split as the weights say, evenly in time.
+// Choose returns the service for the next request of a route with targets. It
+// splits requests in proportion to the weights.
 func (e *Entry) Choose() string {
 	if len(e.Targets) == 1 {
 		return e.Targets[0].Service
@@ -128,13 +129,13 @@
 	return e.Targets[e.split.next(e.Targets)].Service
 }
 
-// split deals requests out by smooth weighted round robin.
-type split struct {
+// roundRobin is a smooth weighted round robin.
+type roundRobin struct {
 	mu      sync.Mutex
 	current []float64
 }
 
-func (s *split) next(targets []Target) int {
+func (s *roundRobin) next(targets []Target) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	best, total := 0, 0.0
@@ -149,14 +150,14 @@
 	return best
 }
 
-// Holder keeps the newest table. It is not safe for concurrent use.
+// Holder holds the newest table. It is not safe for concurrent use.
 type Holder struct{ table *Table }
 
-// Table returns the newest table, or nil before the first.
+// Table returns the newest table, or nil if none was adopted yet.
 func (h *Holder) Table() *Table { return h.table }
 
-// Adopt takes a configuration into use if it is valid and newer than the one in
-// use. It reports whether it was; the error is an *InvalidError.
+// Adopt replaces the table by one for config if config is valid and newer, and
+// reports whether it did. An error is an *InvalidError.
 func (h *Holder) Adopt(config Config) (bool, error) {
 	if h.table != nil && config.Version <= h.table.Version() {
 		return false, nil
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -11,7 +11,7 @@
 	"github.com/mallowgap/mallowgap/route"
 )
 
-func simple(version uint64, prefix, service string) route.Config {
+func singleRoute(version uint64, prefix, service string) route.Config {
 	return route.Config{Version: version, Routes: []route.Route{{
 		Name: "r", Host: "a.example", Prefix: prefix, Timeout: time.Second, MaxAttempts: 1,
 		Targets: []route.Target{{Service: service, Weight: 1}},
@@ -19,7 +19,7 @@
 }
 
 func TestLongestPrefixServes(t *testing.T) {
-	config := simple(1, "/a/", "short")
+	config := singleRoute(1, "/a/", "short")
 	long := config.Routes[0]
 	long.Prefix = "/a/b/"
 	long.Targets = []route.Target{{Service: "long", Weight: 1}}
@@ -37,7 +37,7 @@
 		version uint64
 		adopted bool
 	}{{5, true}, {4, false}, {5, false}, {9, true}, {6, false}} {
-		adopted, err := h.Adopt(simple(step.version, "/a/", "s"))
+		adopted, err := h.Adopt(singleRoute(step.version, "/a/", "s"))
 		assert.NilError(t, err)
 		assert.Equal(t, adopted, step.adopted, "version %d", step.version)
 	}
@@ -46,19 +46,19 @@
 
 func TestInvalidConfigurationIsNotAdopted(t *testing.T) {
 	var h route.Holder
-	bad := simple(7, "/a", "s")
+	bad := singleRoute(7, "/a", "s")
 	adopted, err := h.Adopt(bad)
 	var invalid *route.InvalidError
 	assert.Assert(t, !adopted && errors.As(err, &invalid), "%v", err)
 	assert.Equal(t, invalid.Field, "prefix")
-	double := simple(7, "/a/", "s")
-	double.Routes[0].Query = &route.Query{Shards: []string{"x", "x"}, Top: 1}
-	_, err = h.Adopt(double)
+	duplicate := singleRoute(7, "/a/", "s")
+	duplicate.Routes[0].Query = &route.Query{Shards: []string{"x", "x"}, Top: 1}
+	_, err = h.Adopt(duplicate)
 	assert.ErrorContains(t, err, "each shard once")
 }
 
 func TestSplitFollowsWeights(t *testing.T) {
-	config := simple(1, "/a/", "s")
+	config := singleRoute(1, "/a/", "s")
 	config.Routes[0].Targets = []route.Target{{Service: "a", Weight: 7}, {Service: "b", Weight: 2}, {Service: "c", Weight: 1}}
 	entry := route.NewTable(config).Match("a.example", "/a/")
 	counts := map[string]int{}
@@ -69,14 +69,15 @@
 }
 
 func ExampleTable() {
-	table := route.NewTable(simple(3, "/tags/", "printer"))
+	table := route.NewTable(singleRoute(3, "/tags/", "printer"))
 	fmt.Println(table.Version(), table.Match("a.example", "/tags/17").Choose())
 	// Output: 3 printer
 }
 
-// Odd values are used as far as they make sense, and said; no route is lost by one.
-func TestOddValuesAreSaidAndUsed(t *testing.T) {
-	config := simple(7, "/a/", "s")
+// Values out of range cause a warning and a default, not the rejection of the
+// configuration.
+func TestValuesOutOfRangeCauseWarnings(t *testing.T) {
+	config := singleRoute(7, "/a/", "s")
 	config.Routes[0].Objective = 200 * time.Millisecond
 	config.Routes = append(config.Routes, config.Routes[0], config.Routes[0], config.Routes[0])
 	config.Routes[1].Priority = -3
