--- a/scatter/doc.go
+++ b/scatter/doc.go
@@ -1,7 +1,8 @@
-// Package scatter gathers the parts of one query and computes its coverage.
+// Package scatter merges the partial results of one query and computes its
+// coverage.
 //
-// Invariants: a part is merged only if it belongs to a running attempt of this
-// query, to the pinned snapshot and shard, and is whole; each shard is merged
-// at most once; the coverage is computed from the merged parts alone; nothing
-// is merged after Close.
+// Invariants: a part is merged only if it is complete and belongs to an attempt in
+// flight, to the expected shard and to the pinned snapshot; each shard is merged
+// at most once; coverage is computed only from merged parts; nothing is merged
+// after Close.
 package scatter
--- a/scatter/gather.go
+++ b/scatter/gather.go
@@ -2,68 +2,69 @@
 
 import "time"
 
-// Snapshot names the state of the index that a query is pinned to.
+// Snapshot identifies the state of the index that a query is pinned to.
 type Snapshot struct {
 	Epoch uint64
-	// Version is the index version; 0 takes that of the first part.
+	// Version is the index version; 0 pins the query to that of the first part.
 	Version uint64
 }
 
-// Part is what one leaf sent for one shard.
+// Part is the partial result of one leaf for one shard.
 type Part struct {
 	Shard    string
 	Snapshot Snapshot
 	Rows     [][]byte
-	// RowCount is the number of rows that the leaf meant to send.
+	// RowCount is the number of rows that the leaf announced.
 	RowCount int
 }
 
-// Verdict is what became of a part.
+// Verdict is the outcome of a received part.
 type Verdict int
 
 const (
-	// Merged: the part is in the answer.
+	// Merged means that the part is in the answer.
 	Merged Verdict = iota
-	// Late: the shard was merged before, or the gather is closed.
+	// Late means that the shard or the gather was already closed.
 	Late
-	// Foreign: no running attempt of this query has that identifier.
+	// Foreign means that no attempt in flight has the identifier.
 	Foreign
-	// OtherSnapshot: the part is from another epoch, version or shard.
+	// OtherSnapshot means that the part is of another epoch, version or shard.
 	OtherSnapshot
-	// CutShort: rows are missing from the part.
+	// CutShort means that the part does not have RowCount rows.
 	CutShort
 )
 
-// String returns the name of the verdict.
+// String returns the name of the verdict as used in metrics.
 func (v Verdict) String() string {
 	return [...]string{"merged", "late", "foreign", "other_snapshot", "cut_short"}[v]
 }
 
-// Missing says why a shard did not contribute.
+// Missing is the reason why a shard did not contribute.
 type Missing int
 
 const (
-	// NotMissing: the shard contributed.
+	// NotMissing means that the shard contributed.
 	NotMissing Missing = iota
-	// NoReplica: no live replica could be sent the request.
+	// NoReplica means that there was no live replica to send the request to.
 	NoReplica
-	// Refused: every replica refused.
+	// Refused means that every replica refused the request.
 	Refused
-	// Failed: attempts failed.
+	// Failed means that the attempts failed.
 	Failed
-	// TooLate: no part came in time.
+	// TooLate means that no part arrived in time.
 	TooLate
-	// NotHeld: no replica could serve the pinned snapshot.
+	// NotHeld means that no replica could serve the pinned snapshot.
 	NotHeld
-	// Clipped: the part that came was cut short.
+	// Clipped means that the received part lacked rows.
 	Clipped
 )
 
-// Early says when a query stops waiting for its last shards.
+// Early is the condition for answering without the remaining shards.
 type Early struct {
-	// Share of the shards (0 to 1) that must have contributed; 0 waits for all.
+	// Share is the share of the shards (0 to 1) that must have contributed; 0 waits
+	// for all of them.
 	Share float64
-	// After is the time since the start before which all are waited for.
+	// After is the time since the start during which all shards are waited for.
 	After time.Duration
 }
 
@@ -76,25 +77,26 @@
 
 // Gather collects the parts of one query. It is not safe for concurrent use.
 type Gather struct {
-	names    []string
-	shards   []shardState
-	snapshot Snapshot
-	early    Early
-	start    time.Time
-	open     int
-	merged   int
-	closed   bool
-}
-
-// New returns a gather over the named shards, pinned to a snapshot.
-func New(names []string, snapshot Snapshot, early Early, start time.Time) *Gather {
+	shardNames []string
+	shards     []shardState
+	snapshot   Snapshot
+	early      Early
+	start      time.Time
+	// pending is the number of shards that are not closed.
+	pending int
+	merged  int
+	closed  bool
+}
+
+// New returns a gather for the named shards, pinned to a snapshot.
+func New(shardNames []string, snapshot Snapshot, early Early, start time.Time) *Gather {
 	return &Gather{
-		names:    names,
-		shards:   make([]shardState, len(names)),
-		snapshot: snapshot,
-		early:    early,
-		start:    start,
-		open:     len(names),
+		shardNames: shardNames,
+		shards:     make([]shardState, len(shardNames)),
+		snapshot:   snapshot,
+		early:      early,
+		start:      start,
+		pending:    len(shardNames),
 	}
 }
 
@@ -104,24 +106,24 @@
 // Merged returns the number of shards that contributed.
 func (g *Gather) Merged() int { return g.merged }
 
-// Open reports whether a shard still waits for its part.
+// Open reports whether a part for a shard can still be merged.
 func (g *Gather) Open(shard int) bool { return !g.closed && !g.shards[shard].closed }
 
 // Contributed reports whether the part of a shard was merged.
 func (g *Gather) Contributed(shard int) bool { return g.shards[shard].merged != nil }
 
-// Running returns the number of attempts running for a shard.
+// Running returns the number of attempts in flight for a shard.
 func (g *Gather) Running(shard int) int { return len(g.shards[shard].running) }
 
-// Started notes that an attempt was sent for a shard.
+// Started records that an attempt for a shard was sent.
 func (g *Gather) Started(shard int, attempt string) {
 	s := &g.shards[shard]
 	s.running = append(s.running, attempt)
 }
 
-// Reply takes a part that came for an attempt.
+// Reply ends an attempt with a part, and merges the part if it is valid.
 func (g *Gather) Reply(shard int, attempt string, part Part) Verdict {
-	if !g.stop(shard, attempt) {
+	if !g.removeAttempt(shard, attempt) {
 		return Foreign
 	}
 	s := &g.shards[shard]
@@ -132,7 +134,7 @@
 		s.missing = Clipped
 		return CutShort
 	}
-	if part.Shard != g.names[shard] || part.Snapshot.Epoch != g.snapshot.Epoch || part.Snapshot.Version == 0 {
+	if part.Shard != g.shardNames[shard] || part.Snapshot.Epoch != g.snapshot.Epoch || part.Snapshot.Version == 0 {
 		s.missing = NotHeld
 		return OtherSnapshot
 	}
@@ -146,19 +148,21 @@
 	s.merged = &part
 	s.closed = true
 	s.missing = NotMissing
-	g.open--
+	g.pending--
 	g.merged++
 	return Merged
 }
 
-// Ended notes that an attempt ended without a part.
-func (g *Gather) Ended(shard int, attempt string, why Missing) {
-	if g.stop(shard, attempt) && g.Open(shard) {
-		g.shards[shard].missing = why
+// Ended records that an attempt ended without a part.
+func (g *Gather) Ended(shard int, attempt string, reason Missing) {
+	if g.removeAttempt(shard, attempt) && g.Open(shard) {
+		g.shards[shard].missing = reason
 	}
 }
 
-func (g *Gather) stop(shard int, attempt string) bool {
+// removeAttempt removes an attempt in flight, and reports whether there was one with
+// the identifier.
+func (g *Gather) removeAttempt(shard int, attempt string) bool {
 	s := &g.shards[shard]
 	for i, a := range s.running {
 		if a == attempt {
@@ -169,36 +173,36 @@
 	return false
 }
 
-// GiveUp closes a shard for which no more attempts will be made. A reason
-// noted before is kept if why is NotMissing.
-func (g *Gather) GiveUp(shard int, why Missing) {
+// GiveUp closes a shard that gets no more attempts. If reason is NotMissing, the
+// reason of an earlier attempt is kept.
+func (g *Gather) GiveUp(shard int, reason Missing) {
 	if !g.Open(shard) {
 		return
 	}
 	s := &g.shards[shard]
 	s.closed = true
-	if why != NotMissing {
-		s.missing = why
+	if reason != NotMissing {
+		s.missing = reason
 	}
 	if s.missing == NotMissing {
 		s.missing = Failed
 	}
-	g.open--
+	g.pending--
 }
 
 // Finished reports whether the query can be answered at now.
 func (g *Gather) Finished(now time.Time) bool {
-	if g.open == 0 {
+	if g.pending == 0 {
 		return true
 	}
 	at, ok := g.EarlyAt()
 	return ok && !now.Before(at)
 }
 
-// EarlyAt returns when the query may stop waiting with the parts it has, and
-// false while it has too few.
+// EarlyAt returns when the query may be answered without the remaining shards, and
+// false if too few have contributed so far.
 func (g *Gather) EarlyAt() (time.Time, bool) {
-	if g.early.Share <= 0 || float64(g.merged) < g.early.Share*float64(len(g.names)) {
+	if g.early.Share <= 0 || float64(g.merged) < g.early.Share*float64(len(g.shardNames)) {
 		return time.Time{}, false
 	}
 	return g.start.Add(g.early.After), true
@@ -210,7 +214,7 @@
 	Why  Missing
 }
 
-// Result is the merged answer with its coverage.
+// Result is the merged answer and its coverage.
 type Result struct {
 	Snapshot    Snapshot
 	Contributed []string
@@ -218,22 +222,22 @@
 	Rows        [][]byte
 }
 
-// Close ends the gather and returns the answer, in the order of the shards.
+// Close ends the gather and returns the result, in the order of the shards.
 func (g *Gather) Close() Result {
 	g.closed = true
 	result := Result{Snapshot: g.snapshot, Contributed: make([]string, 0, g.merged)}
 	for i := range g.shards {
 		s := &g.shards[i]
 		if s.merged != nil {
-			result.Contributed = append(result.Contributed, g.names[i])
+			result.Contributed = append(result.Contributed, g.shardNames[i])
 			result.Rows = append(result.Rows, s.merged.Rows...)
 			continue
 		}
-		why := s.missing
-		if why == NotMissing {
-			why = TooLate
+		reason := s.missing
+		if reason == NotMissing {
+			reason = TooLate
 		}
-		result.Missing = append(result.Missing, MissingShard{Name: g.names[i], Why: why})
+		result.Missing = append(result.Missing, MissingShard{Name: g.shardNames[i], Why: reason})
 	}
 	return result
 }
--- a/scatter/gather_test.go
+++ b/scatter/gather_test.go
@@ -22,16 +22,16 @@
 	for i := range 6 {
 		g.Started(0, fmt.Sprint(i))
 	}
-	cut := part("a", 3, 7)
-	cut.RowCount = 2
+	truncated := part("a", 3, 7)
+	truncated.RowCount = 2
 	assert.Equal(t, g.Reply(0, "none", part("a", 3, 7)), scatter.Foreign)
 	assert.Equal(t, g.Reply(0, "0", part("a", 3, 8)), scatter.OtherSnapshot)
 	assert.Equal(t, g.Reply(0, "1", part("a", 4, 7)), scatter.OtherSnapshot)
 	assert.Equal(t, g.Reply(0, "2", part("b", 3, 7)), scatter.OtherSnapshot)
-	assert.Equal(t, g.Reply(0, "3", cut), scatter.CutShort)
+	assert.Equal(t, g.Reply(0, "3", truncated), scatter.CutShort)
 	assert.Equal(t, g.Reply(0, "4", part("a", 3, 7)), scatter.Merged)
 	assert.Equal(t, g.Reply(0, "5", part("a", 3, 7)), scatter.Late)
-	assert.Equal(t, g.Reply(0, "5", part("a", 3, 7)), scatter.Foreign, "an attempt replies once")
+	assert.Equal(t, g.Reply(0, "5", part("a", 3, 7)), scatter.Foreign, "one reply per attempt")
 	g.Started(1, "late")
 	result := g.Close()
 	assert.Equal(t, g.Reply(1, "late", part("b", 3, 7)), scatter.Late)
@@ -39,8 +39,8 @@
 	assert.DeepEqual(t, result.Missing, []scatter.MissingShard{{Name: "b", Why: scatter.TooLate}})
 }
 
-// An empty answer is a contribution; a shard that was given up is none.
-func TestEmptyIsNotFailed(t *testing.T) {
+// A shard with an empty part contributes; a shard that was given up does not.
+func TestEmptyPartContributes(t *testing.T) {
 	g := scatter.New([]string{"a", "b"}, scatter.Snapshot{Epoch: 1}, scatter.Early{}, start)
 	g.Started(0, "x")
 	empty := scatter.Part{Shard: "a", Snapshot: scatter.Snapshot{Epoch: 1, Version: 2}}
@@ -50,10 +50,10 @@
 	result := g.Close()
 	assert.DeepEqual(t, result.Contributed, []string{"a"})
 	assert.Equal(t, result.Missing[0].Why, scatter.NoReplica)
-	assert.Equal(t, result.Snapshot.Version, uint64(2), "the first part pins")
+	assert.Equal(t, result.Snapshot.Version, uint64(2), "the first part pins the version")
 }
 
-func TestEarly(t *testing.T) {
+func TestFinishesEarly(t *testing.T) {
 	g := scatter.New([]string{"a", "b"}, scatter.Snapshot{Epoch: 1, Version: 1}, scatter.Early{Share: 0.5, After: time.Second}, start)
 	assert.Assert(t, !g.Finished(start.Add(time.Hour)))
 	g.Started(0, "x")
@@ -62,8 +62,8 @@
 	assert.Assert(t, g.Finished(start.Add(time.Second)))
 }
 
-// Whatever comes in whatever order, the result holds one snapshot, each shard
-// once, and names exactly what was merged.
+// For any sequence of events, the result is of one version, contains each shard at
+// most once and names exactly the merged shards.
 func TestGatherAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c"}
@@ -74,7 +74,7 @@
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			shard := rapid.IntRange(0, 2).Draw(rt, "shard")
 			id := fmt.Sprint(rapid.IntRange(0, attempts+1).Draw(rt, "attempt"))
-			switch rapid.IntRange(0, 3).Draw(rt, "do") {
+			switch rapid.IntRange(0, 3).Draw(rt, "action") {
 			case 0:
 				attempts++
 				g.Started(shard, fmt.Sprint(attempts))
@@ -96,7 +96,7 @@
 		}
 		for _, name := range result.Contributed {
 			if merged[name] != result.Snapshot.Version {
-				rt.Fatalf("%s is of version %d in an answer of %d", name, merged[name], result.Snapshot.Version)
+				rt.Fatalf("%s has version %d in an answer of version %d", name, merged[name], result.Snapshot.Version)
 			}
 		}
 	})
