--- a/snapshot/choose.go
+++ b/snapshot/choose.go
@@ -1,13 +1,13 @@
 package snapshot
 
-// Any is the version chosen while no version of any shard is known.
+// Any is chosen while the versions of no available replica are known.
 const Any uint64 = 0
 
-// Tracker knows which versions each replica of each shard held when it was
-// last heard of. It is not safe for concurrent use.
+// Tracker records the index versions that each replica of each shard last
+// reported. It is not safe for concurrent use.
 type Tracker struct {
 	shards []shardVersions
-	// choice is kept until an observation changes something.
+	// choice is cached; Choose recomputes it if stale is set.
 	choice Choice
 	stale  bool
 }
@@ -17,17 +17,18 @@
 }
 
 type replicaVersions struct {
-	versions []uint64
-	out      bool
+	versions    []uint64
+	unavailable bool
 }
 
-// Choice is a version and the number of shards that can serve it.
+// Choice is an index version and the number of shards that can serve it.
 type Choice struct {
 	Version uint64
 	Shards  int
 }
 
-// NewTracker returns a tracker for shards with the given numbers of replicas.
+// NewTracker returns a tracker for len(replicas) shards, where replicas[i] is the
+// number of replicas of shard i.
 func NewTracker(replicas []int) *Tracker {
 	t := &Tracker{shards: make([]shardVersions, len(replicas)), stale: true}
 	for i, n := range replicas {
@@ -36,7 +37,7 @@
 	return t
 }
 
-// Observe notes the versions that a replica holds. The slice is kept.
+// Observe records the versions that a replica holds. It retains the slice.
 func (t *Tracker) Observe(shard, replica int, versions []uint64) {
 	known := &t.shards[shard].replicas[replica]
 	if equal(known.versions, versions) {
@@ -46,22 +47,24 @@
 	t.stale = true
 }
 
-// Versions returns the versions that a replica last held. The slice must not
-// be changed.
+// Versions returns the versions that a replica last reported. The caller must not
+// modify the slice.
 func (t *Tracker) Versions(shard, replica int) []uint64 {
 	return t.shards[shard].replicas[replica].versions
 }
 
-// SetOut notes whether a replica can be sent requests at all.
-func (t *Tracker) SetOut(shard, replica int, out bool) {
+// SetOut records whether a replica is excluded from the choice because it gets no
+// requests.
+func (t *Tracker) SetOut(shard, replica int, unavailable bool) {
 	known := &t.shards[shard].replicas[replica]
-	if known.out != out {
-		known.out = out
+	if known.unavailable != unavailable {
+		known.unavailable = unavailable
 		t.stale = true
 	}
 }
 
-// Holds reports whether a replica may hold version, as far as is known.
+// Holds reports whether a replica may hold version. A replica whose versions are
+// unknown may hold any.
 func (t *Tracker) Holds(shard, replica int, version uint64) bool {
 	known := t.shards[shard].replicas[replica].versions
 	if version == Any || len(known) == 0 {
@@ -70,22 +73,22 @@
 	return contains(known, version)
 }
 
-// Choose returns the version that the most shards can serve, the newest of
-// several, and Any if none is known.
+// Choose returns the version that the most shards can serve, preferring the newest
+// on a tie, or Any if no version is known.
 func (t *Tracker) Choose() Choice {
 	if t.stale {
-		t.choice = t.compute()
+		t.choice = t.computeChoice()
 		t.stale = false
 	}
 	return t.choice
 }
 
-func (t *Tracker) compute() Choice {
+func (t *Tracker) computeChoice() Choice {
 	counts := map[uint64]int{}
 	for i := range t.shards {
 		seen := map[uint64]bool{}
 		for _, r := range t.shards[i].replicas {
-			if r.out {
+			if r.unavailable {
 				continue
 			}
 			for _, v := range r.versions {
--- a/snapshot/choose_test.go
+++ b/snapshot/choose_test.go
@@ -9,33 +9,33 @@
 	"github.com/mallowgap/mallowgap/snapshot"
 )
 
-func TestPrefersCoverageToNewness(t *testing.T) {
-	tr := snapshot.NewTracker([]int{2, 2})
-	assert.Equal(t, tr.Choose().Version, snapshot.Any)
-	tr.Observe(0, 0, []uint64{1, 2})
-	tr.Observe(1, 0, []uint64{1})
-	assert.Equal(t, tr.Choose(), snapshot.Choice{Version: 1, Shards: 2})
-	tr.Observe(1, 1, []uint64{1, 2})
-	assert.Equal(t, tr.Choose(), snapshot.Choice{Version: 2, Shards: 2})
-	tr.SetOut(1, 1, true)
-	assert.Equal(t, tr.Choose(), snapshot.Choice{Version: 1, Shards: 2})
+func TestChoosePrefersCoverage(t *testing.T) {
+	tracker := snapshot.NewTracker([]int{2, 2})
+	assert.Equal(t, tracker.Choose().Version, snapshot.Any)
+	tracker.Observe(0, 0, []uint64{1, 2})
+	tracker.Observe(1, 0, []uint64{1})
+	assert.Equal(t, tracker.Choose(), snapshot.Choice{Version: 1, Shards: 2})
+	tracker.Observe(1, 1, []uint64{1, 2})
+	assert.Equal(t, tracker.Choose(), snapshot.Choice{Version: 2, Shards: 2})
+	tracker.SetOut(1, 1, true)
+	assert.Equal(t, tracker.Choose(), snapshot.Choice{Version: 1, Shards: 2})
 }
 
-// A replica that dropped the old version leaves it to the others.
+// A replica that reported only a newer version no longer serves the old one.
 func TestHolds(t *testing.T) {
-	tr := snapshot.NewTracker([]int{2})
-	assert.Assert(t, tr.Holds(0, 0, 5), "unknown may hold anything")
-	tr.Observe(0, 0, []uint64{2})
-	assert.Assert(t, !tr.Holds(0, 0, 1))
-	assert.Assert(t, tr.Holds(0, 1, 1))
+	tracker := snapshot.NewTracker([]int{2})
+	assert.Assert(t, tracker.Holds(0, 0, 5), "unknown versions")
+	tracker.Observe(0, 0, []uint64{2})
+	assert.Assert(t, !tracker.Holds(0, 0, 1))
+	assert.Assert(t, tracker.Holds(0, 1, 1))
 }
 
 func ExampleTracker() {
-	tr := snapshot.NewTracker([]int{1, 1, 1})
-	tr.Observe(0, 0, []uint64{7, 8})
-	tr.Observe(1, 0, []uint64{7, 8})
-	tr.Observe(2, 0, []uint64{7})
-	fmt.Println(tr.Choose().Version, "serves", tr.Choose().Shards, "shards")
+	tracker := snapshot.NewTracker([]int{1, 1, 1})
+	tracker.Observe(0, 0, []uint64{7, 8})
+	tracker.Observe(1, 0, []uint64{7, 8})
+	tracker.Observe(2, 0, []uint64{7})
+	fmt.Println(tracker.Choose().Version, "serves", tracker.Choose().Shards, "shards")
 	// Output: 7 serves 3 shards
 }
 
@@ -45,14 +45,14 @@
 		for i := range counts {
 			counts[i] = 2
 		}
-		tr := snapshot.NewTracker(counts)
+		tracker := snapshot.NewTracker(counts)
 		for i := range n {
-			tr.Observe(i, 0, []uint64{1, 2})
+			tracker.Observe(i, 0, []uint64{1, 2})
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				tr.Choose()
+				tracker.Choose()
 			}
 		})
 	}
