--- a/discovery/doc.go
+++ b/discovery/doc.go
@@ -1,10 +1,11 @@
-// Package discovery keeps the servers that a store of registrations names.
+// Package discovery keeps a registry of the servers that are registered in a store.
 //
-// Invariant: a server that the store no longer names gets no more requests,
-// with one exception: an entry that went missing while the store was away
-// counts for ReturnGrace after the store's return, because entries lapse in an
-// outage although their servers live and are registered again afterwards.
+// Invariant: a server whose registration is removed from the store gets no more
+// requests. The exception is a registration that disappears during an outage of the
+// store or within ReturnGrace after it. It is kept until ReturnGrace has passed,
+// because registrations expire in an outage although their servers are alive, and
+// are renewed afterwards.
 //
-// A registration of an earlier process under the same identifier changes nothing,
-// and one that cannot be read names no server.
+// A registration from an earlier process under the same identifier is ignored. A
+// server whose registration cannot be decoded is dropped.
 package discovery
--- a/discovery/registry.go
+++ b/discovery/registry.go
@@ -7,56 +7,58 @@
 	"time"
 )
 
-// ReturnGrace is for how long after the store's return an entry that lapsed in
-// the outage may still come back: the store's operators name about two seconds.
+// ReturnGrace is how long after an outage of the store lapsed entries are kept.
+// Servers are expected to register again within about two seconds.
 const ReturnGrace = 2200 * time.Millisecond
 
-// Server is one running server as its registration describes it.
+// Server is a running server as described by its registration.
 type Server struct {
-	// ID names the server. Another process may start under the same one: then Born differs.
+	// ID identifies the server. A later process may reuse it with a different Born.
 	ID      string
 	Service string
-	// Address is where it is called, IP:port. It may be used again by another
-	// server after this one ended.
+	// Address is the IP:port of the server. Another server may reuse it after this
+	// one ended.
 	Address string
-	// Domain is the failure domain it stands in.
+	// Domain is the failure domain of the server.
 	Domain string
-	// Version is that of its software; empty is unknown.
+	// Version is the software version; empty means unknown.
 	Version string
-	// Slots is the number of requests it runs at a time.
+	// Slots is the maximum number of requests that the server runs concurrently.
 	Slots int
-	// Draining servers finish what they have and get nothing new.
+	// Draining is set if the server finishes its requests and gets no new ones.
 	Draining bool
-	// Cold is for how much longer it is slow after its start, when registered.
+	// Cold is the time from registration until the server has warmed up.
 	Cold time.Duration
-	// ColdUntil is when it is slow no longer, as far as the registry knows; zero is never
-	// slow. The registry sets it.
+	// ColdUntil is when the server has warmed up; the zero time means that it is warm.
+	// It is set by the registry.
 	ColdUntil time.Time
-	// Born is when its process started, in milliseconds of Unix time; 0 is unknown.
+	// Born is the start time of the process in Unix milliseconds; 0 means unknown.
 	Born int64
-	// Evacuated servers stand in a failure domain that is to get nothing. The registry sets
-	// it.
+	// Evacuated is set if the failure domain of the server gets no requests. It is set
+	// by the registry.
 	Evacuated bool
 }
 
-// Replaces reports whether the server is a later process under the identifier of another.
+// Replaces reports whether s is a later process than other under the same identifier.
+// It returns false if either start time is unknown.
 func (s Server) Replaces(other Server) bool { return s.Born > other.Born && other.Born > 0 }
 
 type entry struct {
 	server Server
-	// missing is set where the entry lapsed in an outage of the store.
-	missing bool
+	// lapsed is set if the registration disappeared during an outage of the store or
+	// within ReturnGrace after it.
+	lapsed bool
 }
 
 // Registry holds the servers known to one host. It is not safe for concurrent
 // use.
 type Registry struct {
-	entries map[string]*entry
-	away    bool
-	// trustFrom is when missing entries count as gone again.
-	trustFrom time.Time
-	loaded    bool
-	// evacuated are the failure domains whose servers are to get nothing.
+	entries   map[string]*entry
+	storeDown bool
+	// graceUntil is ReturnGrace after the end of the last outage of the store.
+	graceUntil time.Time
+	loaded     bool
+	// evacuated is the set of failure domains that get no requests.
 	evacuated map[string]bool
 }
 
@@ -65,25 +67,26 @@
 	return &Registry{entries: map[string]*entry{}, evacuated: map[string]bool{}}
 }
 
-// Loaded reports whether all registrations were read at least once.
+// Loaded reports whether all registrations have been read at least once.
 func (r *Registry) Loaded() bool { return r.loaded }
 
-// StoreLost notes that the store does not answer.
-func (r *Registry) StoreLost() { r.away = true }
+// StoreLost records that the store is unavailable.
+func (r *Registry) StoreLost() { r.storeDown = true }
 
-// StoreRegained notes that the store answers, and reports whether it was away.
+// StoreRegained records that the store is available, and reports whether it was
+// unavailable before.
 func (r *Registry) StoreRegained(now time.Time) bool {
-	if !r.away {
+	if !r.storeDown {
 		return false
 	}
-	r.away = false
-	r.trustFrom = now.Add(ReturnGrace)
+	r.storeDown = false
+	r.graceUntil = now.Add(ReturnGrace)
 	return true
 }
 
-// Put takes a registration in, and reports whether it counts: that of an earlier process
-// than the one known does not. One that does not tell when its process started is of the
-// process known.
+// Put adds or replaces a registration, and reports whether it did. A registration from
+// an earlier process than the known one is ignored. One without a start time is
+// attributed to the known process.
 func (r *Registry) Put(server Server, now time.Time) bool {
 	if known, ok := r.entries[server.ID]; ok {
 		if server.Born == 0 {
@@ -101,24 +104,25 @@
 	return true
 }
 
-// Drop takes a server out whose registration cannot be read, and reports whether it was
-// known.
+// Drop removes a server whose registration cannot be decoded, and reports whether it
+// was known.
 func (r *Registry) Drop(id string) bool {
 	_, known := r.entries[id]
 	delete(r.entries, id)
 	return known
 }
 
-// Evacuate notes that the servers of a failure domain are to get nothing, and reports
-// whether that is news.
+// Evacuate marks a failure domain whose servers get no requests, and reports whether it
+// was unmarked before.
 func (r *Registry) Evacuate(domain string) bool {
-	news := !r.evacuated[domain]
+	added := !r.evacuated[domain]
 	r.evacuated[domain] = true
-	return news
+	return added
 }
 
-// Restore takes an evacuation back, and reports whether there was one. The servers may have
-// become cold meanwhile; coldFor tells for how long those of a service are then.
+// Restore ends the evacuation of a failure domain, and reports whether there was one. Its
+// servers may have become cold meanwhile; coldFor returns how long those of a service
+// stay cold.
 func (r *Registry) Restore(domain string, coldFor func(service string) time.Duration, now time.Time) bool {
 	if !r.evacuated[domain] {
 		return false
@@ -132,7 +136,7 @@
 	return true
 }
 
-// Server returns a server by its identifier.
+// Server returns the server with an identifier, and whether it is known.
 func (r *Registry) Server(id string) (Server, bool) {
 	e, ok := r.entries[id]
 	if !ok {
@@ -141,45 +145,46 @@
 	return e.server, true
 }
 
-// Remove takes a server out that the store no longer names, and reports whether it
-// is gone: one that lapsed in an outage of the store still counts.
+// Remove removes a server whose registration is no longer in the store, and reports
+// whether it did. During an outage of the store and for ReturnGrace after it, the
+// server is kept and only marked as lapsed.
 func (r *Registry) Remove(id string, now time.Time) bool {
 	e, ok := r.entries[id]
 	if !ok {
 		return false
 	}
-	if r.away || now.Before(r.trustFrom) {
-		e.missing = true
+	if r.storeDown || now.Before(r.graceUntil) {
+		e.lapsed = true
 		return false
 	}
 	delete(r.entries, id)
 	return true
 }
 
-// Complete notes that all registrations were read.
+// Complete records that all registrations have been read.
 func (r *Registry) Complete() { r.loaded = true }
 
-// Expire drops the entries that lapsed and did not come back in time, and
-// returns their servers.
+// Expire removes the lapsed entries that were not registered again within ReturnGrace,
+// and returns their servers.
 func (r *Registry) Expire(now time.Time) []Server {
-	if r.away || now.Before(r.trustFrom) {
+	if r.storeDown || now.Before(r.graceUntil) {
 		return nil
 	}
-	var gone []Server
+	var expired []Server
 	for id, e := range r.entries {
-		if e.missing {
-			gone = append(gone, e.server)
+		if e.lapsed {
+			expired = append(expired, e.server)
 			delete(r.entries, id)
 		}
 	}
-	return gone
+	return expired
 }
 
-// Slept takes in that the machine was suspended for a time, which the clock of the registry
-// did not count.
+// Slept moves the times of the registry earlier by d, the time that the machine was
+// suspended and that its monotonic clock did not count.
 func (r *Registry) Slept(d time.Duration) {
-	if !r.trustFrom.IsZero() {
-		r.trustFrom = r.trustFrom.Add(-d)
+	if !r.graceUntil.IsZero() {
+		r.graceUntil = r.graceUntil.Add(-d)
 	}
 	for _, e := range r.entries {
 		if !e.server.ColdUntil.IsZero() {
@@ -188,7 +193,7 @@
 	}
 }
 
-// Servers returns all servers, in the order of their identifiers.
+// Servers returns all servers, sorted by identifier.
 func (r *Registry) Servers() []Server {
 	servers := make([]Server, 0, len(r.entries))
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
@@ -199,7 +204,7 @@
 	return servers
 }
 
-// ByService groups servers by their service.
+// ByService groups servers by service, each group sorted by identifier.
 func ByService(servers []Server) map[string][]Server {
 	groups := map[string][]Server{}
 	for _, s := range servers {
--- a/discovery/registry_test.go
+++ b/discovery/registry_test.go
@@ -26,49 +26,49 @@
 	}
 }
 
-func TestRemovedServerIsGoneAtOnce(t *testing.T) {
+func TestRemovedServerIsDroppedAtOnce(t *testing.T) {
 	r := discovery.NewRegistry()
 	put(r, "a", "b")
 	r.Remove("a", start)
 	assert.DeepEqual(t, ids(r), []string{"b"})
 }
 
-func TestLapsedServerCountsUntilTheStoreIsBack(t *testing.T) {
+func TestLapsedServerIsKeptForReturnGrace(t *testing.T) {
 	r := discovery.NewRegistry()
 	put(r, "a", "b", "c")
 	r.StoreLost()
-	back := start.Add(10 * time.Second)
-	assert.Assert(t, r.StoreRegained(back))
-	r.Remove("a", back)
-	r.Remove("b", back)
+	regained := start.Add(10 * time.Second)
+	assert.Assert(t, r.StoreRegained(regained))
+	r.Remove("a", regained)
+	r.Remove("b", regained)
 	assert.DeepEqual(t, ids(r), []string{"a", "b", "c"})
-	r.Put(discovery.Server{ID: "a"}, back)
-	assert.Equal(t, len(r.Expire(back.Add(time.Second))), 0)
-	gone := r.Expire(back.Add(discovery.ReturnGrace))
-	assert.Equal(t, len(gone), 1)
+	r.Put(discovery.Server{ID: "a"}, regained)
+	assert.Equal(t, len(r.Expire(regained.Add(time.Second))), 0)
+	expired := r.Expire(regained.Add(discovery.ReturnGrace))
+	assert.Equal(t, len(expired), 1)
 	assert.DeepEqual(t, ids(r), []string{"a", "c"})
-	r.Remove("c", back.Add(discovery.ReturnGrace))
+	r.Remove("c", regained.Add(discovery.ReturnGrace))
 	assert.DeepEqual(t, ids(r), []string{"a"})
 }
 
-// A server starts again under its identifier: the entry of the process before, which comes
-// late, changes nothing.
+// Guards against a delayed registration of an earlier process replacing that of its
+// successor under the same identifier.
 func TestLaterProcessUnderTheSameIdentifier(t *testing.T) {
 	r := discovery.NewRegistry()
 	first := discovery.Server{ID: "a", Service: "old", Born: 1000}
 	second := discovery.Server{ID: "a", Service: "new", Born: 2000}
 	assert.Assert(t, r.Put(first, start) && r.Put(second, start))
 	assert.Assert(t, second.Replaces(first) && !first.Replaces(second) && !second.Replaces(second))
-	assert.Assert(t, !r.Put(first, start), "the entry of an earlier process")
+	assert.Assert(t, !r.Put(first, start), "registration of an earlier process")
 	s, _ := r.Server("a")
 	assert.Equal(t, s.Service, "new")
-	assert.Assert(t, r.Put(discovery.Server{ID: "a", Service: "newer"}, start), "one that does not tell when it started")
+	assert.Assert(t, r.Put(discovery.Server{ID: "a", Service: "newer"}, start), "registration without a start time")
 	s, _ = r.Server("a")
 	assert.Assert(t, s.Service == "newer" && s.Born == 2000)
-	assert.Assert(t, !s.Replaces(discovery.Server{ID: "a"}), "nothing is known of the one before")
+	assert.Assert(t, !s.Replaces(discovery.Server{ID: "a"}), "unknown start time of the other process")
 }
 
-func TestUnreadableRegistrationNamesNoServer(t *testing.T) {
+func TestDropRemovesServerUntilItRegistersAgain(t *testing.T) {
 	r := discovery.NewRegistry()
 	put(r, "a", "b")
 	assert.Assert(t, r.Drop("a") && !r.Drop("x"))
@@ -77,16 +77,16 @@
 	assert.DeepEqual(t, ids(r), []string{"a", "b"})
 }
 
-func TestEvacuationAndItsEnd(t *testing.T) {
+func TestEvacuateAndRestore(t *testing.T) {
 	r := discovery.NewRegistry()
 	r.Put(discovery.Server{ID: "a", Service: "s", Domain: "x"}, start)
 	r.Put(discovery.Server{ID: "b", Service: "s", Domain: "y"}, start)
 	coldFor := func(string) time.Duration { return 3 * time.Second }
-	assert.Assert(t, !r.Restore("x", coldFor, start), "not asked for")
+	assert.Assert(t, !r.Restore("x", coldFor, start), "not evacuated")
 	assert.Assert(t, r.Evacuate("x") && !r.Evacuate("x") && r.Evacuate("nowhere"))
 	assert.Assert(t, r.Servers()[0].Evacuated && !r.Servers()[1].Evacuated)
 	r.Put(discovery.Server{ID: "c", Service: "s", Domain: "x"}, start)
-	assert.Assert(t, r.Servers()[2].Evacuated, "one that starts there meanwhile")
+	assert.Assert(t, r.Servers()[2].Evacuated, "server registered during the evacuation")
 	assert.Assert(t, r.Restore("x", coldFor, start) && !r.Restore("x", coldFor, start))
 	assert.Assert(t, !r.Servers()[0].Evacuated)
 	assert.Equal(t, r.Servers()[0].ColdUntil, start.Add(3*time.Second))
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -47,7 +47,7 @@
 TestHolderNeverGoesBack@route/table.go@s/config.Version <= h.table.Version\(\)/config.Version == h.table.Version()/@an older configuration of the platform is put in force
 TestAnswersAreTrue@fanout/block.go@s/if !q.anyCovered\(b.Shards\) \{/if true {/@a shard is in an answer twice
 TestFloorLeavesOutWhatCannotCount@fanout/block.go@s/blocks := dropInvalidFloors\(q.settings.Top, (.*)\)\n/blocks := $1\n/@a block whose floor does not hold is counted
-TestServersLapsedInAnOutageServeUntilTheStoreIsBack@discovery/registry.go@s/if r.away \|\| now.Before\(r.trustFrom\) \{\n\t\te.missing/if false {\n\t\te.missing/@entries that lapse in an outage are gone at once
+TestServersLapsedInAnOutageServeUntilTheStoreIsBack@discovery/registry.go@s/if r.storeDown \|\| now.Before\(r.graceUntil\) \{\n\t\te.lapsed/if false {\n\t\te.lapsed/@entries that lapse in an outage are gone at once
 TestUnreachableServersEarnNoBudget@internal/gateway/attempt.go@s/if !q.counted\[need.Shard\] \{/if kind == firstAttempt {/@tries that reach nobody earn budget
 TestNotRepeatableRequestIsSentOnce@internal/gateway/query.go@s/if !q.mayHaveRun && !q.running\(\) &&/if/@a request that may have run is called not run
 TestDrainingServerGetsNothingNew@internal/gateway/fleet.go@s/if s.Draining \|\| s.Evacuated \{/if s.Evacuated {/@a draining server gets requests
