--- a/admission/gate.go
+++ b/admission/gate.go
@@ -9,123 +9,122 @@
 )
 
 const (
-	// targetShare is the wait at the servers that the gate holds in an overload, as
-	// a share of the objective of the highest rank: long enough to keep every slot
-	// busy, and short enough for what is let in to be answered in time although
-	// shards differ.
+	// targetShare is the queueing delay at the servers that the controller aims for,
+	// as a share of the objective of the highest rank: long enough to keep every slot
+	// busy, short enough that admitted requests still meet the objective when shards
+	// differ.
 	targetShare = 0.12
-	// integralGain and proportionalGain say by how much more of the offered work is
-	// refused: for each second that the wait is one target too long, and for each
-	// target by which it has grown. With them the share settles without swinging
-	// where the wait is known a tenth of a second late.
+	// integralGain is the increase of the refused share per second and per target by
+	// which the wait exceeds the target; proportionalGain is the increase per target by
+	// which the wait has grown. Higher gains oscillate, because the wait is observed
+	// about 100 ms late.
 	integralGain     = 0.5
 	proportionalGain = 0.1
-	// gainGap is the time between two requests up to which the gains hold. A host
-	// that asks more rarely knows the wait later and follows it more slowly.
-	gainGap = 100 * time.Millisecond
-	// longestStep bounds the time that one change of the share stands for.
-	longestStep = 250 * time.Millisecond
-	// leastTarget bounds that wait where an objective is odd.
-	leastTarget = time.Millisecond
-	// leak is the part of the share that is let go each second. Hosts that have come
-	// to different shares come together, as who refuses more lets more go; the wait
-	// settles a little above its target for it.
-	leak = 0.25
-	// shortWait is the wait, in targets, below which the servers have room; the share
-	// then falls to a third in shortLife.
-	shortWait = 0.25
-	shortLife = 200 * time.Millisecond
-	// floorShare is the share of the admitted work that each lower rank keeps, so
-	// that it is not starved.
+	// fullGainInterval is the longest mean interval between requests at which the
+	// gains apply in full. A host with fewer requests observes the wait less often and
+	// follows it more slowly.
+	fullGainInterval = 100 * time.Millisecond
+	// maxStep bounds the elapsed time that one update of the refused share accounts for.
+	maxStep = 250 * time.Millisecond
+	// minTarget bounds the target wait and the retry delay from below where the objective
+	// is zero or tiny.
+	minTarget = time.Millisecond
+	// leakRate is the fraction of the refused share that is released each second. Hosts
+	// that refuse more release more, so their shares converge; in return the wait
+	// settles slightly above its target.
+	leakRate = 0.25
+	// lowWait is the wait, in targets, below which the servers have spare capacity; the
+	// refused share then decays with time constant lowWaitDecay.
+	lowWait      = 0.25
+	lowWaitDecay = 200 * time.Millisecond
+	// floorShare is the share of the admitted work reserved for each lower rank, which
+	// prevents starvation.
 	floorShare = 0.03
-	// rankLife is for how long a rank counts after its last request.
-	rankLife = 5 * time.Second
-	// workLife is the time in which work that was offered falls to a third of its
-	// weight.
-	workLife = time.Second
-	// costSmoothing is the weight of a new sample of the cost of a request.
+	// rankExpiry is the time after its last request at which a rank is forgotten.
+	rankExpiry = 5 * time.Second
+	// workDecay is the time constant with which offered work loses weight.
+	workDecay = time.Second
+	// costSmoothing is the weight of a new sample in the moving averages of the cost of
+	// a request and of the interval between requests.
 	costSmoothing = 0.05
-	// overloadedShare is the share of the work refused from which it is an overload.
-	overloadedShare = 0.05
-	// overloadGap is the time without a refusal after which an overload is over.
-	overloadGap = time.Second
-	// leastReturn is the earliest return of a caller, as a share of the objective:
-	// one that is refused in a short overload may still be served in time.
-	leastReturn = 0.5
-	// longestReturn bounds that time for the highest rank, before it is spread.
-	longestReturn = 2500 * time.Millisecond
-	// rankReturn is by how much later each lower rank is asked to come back, as a
-	// share of the time of the highest, for laterRanks at most.
-	rankReturn = 0.5
-	laterRanks = 3
+	// overloadThreshold is the refused share above which the gate reports an overload.
+	overloadThreshold = 0.05
+	// overloadEnd is the time without a refusal after which an overload is over.
+	overloadEnd = time.Second
+	// minRetryShare is the shortest retry delay, as a share of the objective: a caller
+	// refused in a short overload may still be served in time.
+	minRetryShare = 0.5
+	// maxRetryDelay bounds the retry delay of the highest rank, before jitter.
+	maxRetryDelay = 2500 * time.Millisecond
+	// rankRetryStep is the extra retry delay of each lower rank, as a share of the delay
+	// of the highest, counted for at most maxRankSteps ranks.
+	rankRetryStep = 0.5
+	maxRankSteps  = 3
 )
 
-// Gate decides, when a request arrives, whether the servers have room for it. It
-// is for servers that many hosts share: each host has a gate of its own and
-// nothing is agreed between them. What they have in common is the wait at the
-// servers, which all of them observe. A gate refuses a share of the offered work
-// that grows while the wait is too long and falls while it is short (a PI
-// controller, as in the queue management PIE), so that all hosts come to about the
-// same share, however unevenly the requests are spread. That share is taken from
-// callers that come back too late for their objective first, then from the lowest
-// rank.
-//
-// With three times the callers that 40 servers have room for, on 8 hosts, answers in
-// time came to 240 a second where 72 came without a gate, counted from the callers. A
-// Gate is not safe for concurrent use.
+// Gate decides on arrival whether a request is admitted to servers shared by many
+// hosts. Each host has its own gate and the gates do not communicate: what they share
+// is the wait at the servers, which every host observes. A gate refuses a share of the
+// offered work that grows while the wait is above its target and shrinks while it is
+// below (a PI controller, as in the PIE queue management algorithm), so that all hosts
+// converge to about the same share, however unevenly requests are spread. Callers that
+// can no longer meet their objective are refused first, then the lowest rank. A Gate is
+// not safe for concurrent use.
 type Gate struct {
-	rng   *rand.Rand
+	rng *rand.Rand
+	// ranks are the active ranks, in the order in which they are admitted.
 	ranks []*rankState
-	// refuse is the share (0 to 1) of the offered work that is refused.
-	refuse float64
-	// wait is the wait of the request before, in targets, at is when it came, and
-	// gap the smoothed time between two requests.
-	wait float64
-	at   time.Time
-	gap  time.Duration
-	// since is when the present overload began, refused when a request was last
-	// refused.
-	since, refused time.Time
+	// refusedShare is the share (0 to 1) of the offered work that is refused.
+	refusedShare float64
+	// lastWait is the wait at the previous request, in targets, lastAt the time of that
+	// request, and meanInterval the smoothed time between requests.
+	lastWait     float64
+	lastAt       time.Time
+	meanInterval time.Duration
+	// overloadStart is when the current overload began, lastRefusal when a request was
+	// last refused.
+	overloadStart, lastRefusal time.Time
 }
 
-// rankState is a rank that has asked of late.
+// rankState holds the recent load of one rank, separately for late requests.
 type rankState struct {
 	rank uint32
-	// late tells that its requests can no longer be answered within the objective.
+	// late is set for requests that can no longer be answered within the objective.
 	late      bool
 	objective time.Duration
-	at        time.Time
-	// work is what was offered of late, in seconds, the recent with more weight.
+	lastAt    time.Time
+	// work is the recently offered work, in seconds of server time, exponentially
+	// decayed.
 	work float64
-	// cost is the smoothed time that a request takes of a server.
+	// cost is the smoothed server time of one request.
 	cost time.Duration
 }
 
-// Ask is a request at a gate.
+// Ask describes a request offered to a gate.
 type Ask struct {
 	// Rank is the rank of the class; 0 is the highest.
 	Rank uint32
-	// Objective is the time within which an answer has its full worth.
+	// Objective is the time within which an answer has its full value.
 	Objective time.Duration
-	// Late tells that the objective has passed since the caller's first attempt.
+	// Late reports that the objective has passed since the caller's first attempt.
 	Late bool
-	// Wait is how long a request would wait at the servers.
+	// Wait is the estimated time that the request would wait at the servers.
 	Wait time.Duration
 }
 
-// Verdict is what a gate decides.
+// Verdict is the decision of a gate on one request.
 type Verdict struct {
 	Admitted bool
-	// Chance is that with which the request was let in.
+	// Chance is the probability (0 to 1) with which the request was admitted.
 	Chance float64
-	// RetryAfter is when a request that was refused has a new chance.
+	// RetryAfter is the delay after which a refused caller should try again.
 	RetryAfter time.Duration
 }
 
-// NewGate returns a gate that has seen no request.
+// NewGate returns a gate that refuses nothing yet. rng draws admissions and jitter.
 func NewGate(rng *rand.Rand) *Gate { return &Gate{rng: rng} }
 
-// Ran takes in how long a request of a rank took of one server.
+// Ran records the server time that a request of the given rank used.
 func (g *Gate) Ran(rank uint32, cost time.Duration) {
 	for _, r := range g.ranks {
 		if r.rank != rank {
@@ -138,36 +137,37 @@
 	}
 }
 
-// Offer decides about a request.
+// Offer admits or refuses a request that arrives at now.
 func (g *Gate) Offer(ask Ask, now time.Time) Verdict {
-	index := g.see(ask, now)
-	g.adjust(ask.Wait, now)
-	c := g.chance(index)
-	if c >= 1 || g.rng.Float64() < c {
-		return Verdict{Admitted: true, Chance: c}
+	index := g.record(ask, now)
+	g.updateShare(ask.Wait, now)
+	p := g.admitProbability(index)
+	if p >= 1 || g.rng.Float64() < p {
+		return Verdict{Admitted: true, Chance: p}
 	}
-	if now.Sub(g.refused) > overloadGap {
-		g.since = now
+	if now.Sub(g.lastRefusal) > overloadEnd {
+		g.overloadStart = now
 	}
-	g.refused = now
-	return Verdict{Chance: c, RetryAfter: g.retryAfter(ask, index, now)}
+	g.lastRefusal = now
+	return Verdict{Chance: p, RetryAfter: g.retryAfter(ask, index, now)}
 }
 
-// see notes a request and returns the index of its rank.
-func (g *Gate) see(ask Ask, now time.Time) int {
-	g.ranks = slices.DeleteFunc(g.ranks, func(r *rankState) bool { return r.order(ask) != 0 && now.Sub(r.at) > rankLife })
-	i, known := slices.BinarySearchFunc(g.ranks, ask, (*rankState).order)
+// record adds a request to the offered work and returns the index of its rank. Ranks
+// without recent requests are dropped.
+func (g *Gate) record(ask Ask, now time.Time) int {
+	g.ranks = slices.DeleteFunc(g.ranks, func(r *rankState) bool { return r.compare(ask) != 0 && now.Sub(r.lastAt) > rankExpiry })
+	i, known := slices.BinarySearchFunc(g.ranks, ask, (*rankState).compare)
 	if !known {
-		g.ranks = slices.Insert(g.ranks, i, &rankState{rank: ask.Rank, late: ask.Late, at: now, cost: g.cost(ask.Rank)})
+		g.ranks = slices.Insert(g.ranks, i, &rankState{rank: ask.Rank, late: ask.Late, lastAt: now, cost: g.rankCost(ask.Rank)})
 	}
 	r := g.ranks[i]
-	r.work = r.work*math.Exp(-float64(now.Sub(r.at))/float64(workLife)) + r.cost.Seconds()
-	r.objective, r.at = ask.Objective, now
+	r.work = r.work*math.Exp(-float64(now.Sub(r.lastAt))/float64(workDecay)) + r.cost.Seconds()
+	r.objective, r.lastAt = ask.Objective, now
 	return i
 }
 
-// order compares a rank with that of a request: what is late comes last.
-func (r *rankState) order(ask Ask) int {
+// compare orders a rank relative to that of a request; late ones come last.
+func (r *rankState) compare(ask Ask) int {
 	if r.late != ask.Late {
 		if r.late {
 			return 1
@@ -177,8 +177,8 @@
 	return cmp.Compare(r.rank, ask.Rank)
 }
 
-// cost returns what a request of a rank is known to cost.
-func (g *Gate) cost(rank uint32) time.Duration {
+// rankCost returns the smoothed cost of a request of the given rank, or 0 if unknown.
+func (g *Gate) rankCost(rank uint32) time.Duration {
 	for _, r := range g.ranks {
 		if r.rank == rank {
 			return r.cost
@@ -187,42 +187,42 @@
 	return 0
 }
 
-// adjust moves the share that is refused by the wait that is seen now.
-func (g *Gate) adjust(wait time.Duration, now time.Time) {
-	target := max(targetShare*float64(g.ranks[0].objective), float64(leastTarget))
-	w := float64(wait) / target
-	step := min(now.Sub(g.at), longestStep)
-	g.gap += time.Duration(costSmoothing * float64(min(now.Sub(g.at), rankLife)-g.gap))
-	gain := min(1, float64(gainGap)/float64(max(g.gap, 1)))
-	g.refuse += gain * (integralGain*step.Seconds()*(w-1) + proportionalGain*(w-g.wait))
-	g.refuse -= leak * step.Seconds() * g.refuse
-	if w < shortWait {
-		g.refuse *= math.Exp(-float64(step) / float64(shortLife))
+// updateShare runs one step of the controller with the wait observed at now.
+func (g *Gate) updateShare(wait time.Duration, now time.Time) {
+	target := max(targetShare*float64(g.ranks[0].objective), float64(minTarget))
+	ratio := float64(wait) / target
+	step := min(now.Sub(g.lastAt), maxStep)
+	g.meanInterval += time.Duration(costSmoothing * float64(min(now.Sub(g.lastAt), rankExpiry)-g.meanInterval))
+	gain := min(1, float64(fullGainInterval)/float64(max(g.meanInterval, 1)))
+	g.refusedShare += gain * (integralGain*step.Seconds()*(ratio-1) + proportionalGain*(ratio-g.lastWait))
+	g.refusedShare -= leakRate * step.Seconds() * g.refusedShare
+	if ratio < lowWait {
+		g.refusedShare *= math.Exp(-float64(step) / float64(lowWaitDecay))
 	}
-	g.refuse = min(max(g.refuse, 0), 1)
-	g.wait, g.at = w, now
+	g.refusedShare = min(max(g.refusedShare, 0), 1)
+	g.lastWait, g.lastAt = ratio, now
 }
 
-// chance returns with which chance a request of the index-th rank is let in, where
-// what is refused is taken from the lowest rank first, and of each but the highest
-// all except its floor.
-func (g *Gate) chance(index int) float64 {
-	total := g.offered()
-	left := g.refuse * total
+// admitProbability returns the probability with which a request of the index-th rank is
+// admitted. Refusals are taken from the lowest rank first, down to its floor, then from
+// the next higher rank.
+func (g *Gate) admitProbability(index int) float64 {
+	total := g.offeredWork()
+	excess := g.refusedShare * total
 	for i := len(g.ranks) - 1; i > index; i-- {
-		left -= (1 - g.floor(i)) * g.ranks[i].work
+		excess -= (1 - g.floor(i)) * g.ranks[i].work
 	}
-	if left <= 0 {
+	if excess <= 0 {
 		return 1
 	}
 	if g.ranks[index].work == 0 {
-		return 1 // Nothing is known of the cost yet.
+		return 1 // The cost is not known yet.
 	}
-	return max(g.floor(index), 1-left/g.ranks[index].work)
+	return max(g.floor(index), 1-excess/g.ranks[index].work)
 }
 
-// offered is the work that was offered of late.
-func (g *Gate) offered() float64 {
+// offeredWork returns the recently offered work of all ranks, in seconds of server time.
+func (g *Gate) offeredWork() float64 {
 	total := 0.0
 	for _, r := range g.ranks {
 		total += r.work
@@ -230,25 +230,26 @@
 	return total
 }
 
-// floor is the chance that the index-th rank keeps whatever is refused.
+// floor returns the lowest admission probability of the index-th rank; the highest rank
+// and late requests have none.
 func (g *Gate) floor(index int) float64 {
 	r := g.ranks[index]
 	if index == 0 || r.late || r.work == 0 {
 		return 0
 	}
-	return min(1, floorShare*(1-g.refuse)*g.offered()/r.work)
+	return min(1, floorShare*(1-g.refusedShare)*g.offeredWork()/r.work)
 }
 
-// Overloaded reports whether so much is refused that copies of requests would only
-// take the place of others.
-func (g *Gate) Overloaded() bool { return g.refuse > overloadedShare }
+// Overloaded reports whether so much is refused that hedged copies of requests would
+// only displace other requests.
+func (g *Gate) Overloaded() bool { return g.refusedShare > overloadThreshold }
 
-// retryAfter returns when a caller should come back. An overload of unknown end
-// is expected to last as long again as it has lasted; the returns are spread over
-// that time, and those of lower ranks come after.
+// retryAfter returns the delay after which a refused caller should try again. An
+// overload is expected to last as long again as it has lasted so far; retries are
+// jittered over that time, and those of lower ranks are delayed further.
 func (g *Gate) retryAfter(ask Ask, index int, now time.Time) time.Duration {
-	least := max(time.Duration(leastReturn*float64(ask.Objective)), leastTarget)
-	wait := min(max(now.Sub(g.since), least), longestReturn)
-	wait += time.Duration(g.rng.Float64() * float64(wait))
-	return wait + time.Duration(rankReturn*float64(min(index, laterRanks))*float64(wait))
+	shortest := max(time.Duration(minRetryShare*float64(ask.Objective)), minTarget)
+	delay := min(max(now.Sub(g.overloadStart), shortest), maxRetryDelay)
+	delay += time.Duration(g.rng.Float64() * float64(delay))
+	return delay + time.Duration(rankRetryStep*float64(min(index, maxRankSteps))*float64(delay))
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// Order is the order of waiting requests.
+// Order is the order in which waiting requests are admitted.
 type Order int
 
 const (
-	// ByClass serves higher classes first, and the most urgent of a class.
+	// ByClass admits higher classes first and, within a class, the earliest deadline.
 	ByClass Order = iota
-	// FIFO serves in order of arrival and refuses nothing for its deadline; it
-	// is the baseline.
+	// FIFO admits in order of arrival and refuses no request because its deadline is
+	// near. It is the baseline for comparisons.
 	FIFO
 )
 
 const (
-	// serviceSmoothing is the weight of a new sample of the service time.
+	// serviceSmoothing is the weight of a new sample in the moving average of the
+	// service time.
 	serviceSmoothing = 0.1
-	// outlierFactor bounds a sample to a multiple of the estimate, so that one
-	// request that stalled does not make all that follow look hopeless.
+	// outlierFactor bounds a sample to a multiple of the estimate, so that one stalled
+	// request does not cause later requests to be refused as too late.
 	outlierFactor = 3
 )
 
-// Refusal says why a request is not taken.
+// Refusal is the reason why a request was not queued.
 type Refusal int
 
 const (
-	// Accepted: the request is not refused.
+	// Accepted means that the request was queued.
 	Accepted Refusal = iota
-	// QueueFull: too many requests of the class wait.
+	// QueueFull means that the queue of the class is at its length limit.
 	QueueFull
-	// TooLate: the request would not be answered by its deadline.
+	// TooLate means that the request is not expected to finish by its deadline.
 	TooLate
 )
 
-// Settings bound a queue.
+// Settings configure a queue.
 type Settings struct {
 	Order Order
-	// Length is the number of requests of one class that may wait.
+	// Length is the maximum number of waiting requests of each class.
 	Length int
-	// FloorShare is the share of admissions (0 to 1) kept for the lowest
-	// class that waits.
+	// FloorShare is the share of admissions (0 to 1) reserved for the lowest waiting
+	// class.
 	FloorShare float64
 }
 
-// Item is one waiting request. The caller keeps it to withdraw the request.
+// Item is one waiting request. The caller keeps it to be able to withdraw the request.
 type Item struct {
 	// Rank is the rank of the class; 0 is the highest.
 	Rank     uint32
 	Deadline time.Time
-	// Admitted is called when the request's turn comes.
+	// Admitted is called, from within Admit, when the request may run.
 	Admitted func()
 
 	arrival uint64
@@ -62,59 +63,60 @@
 // Queue holds the waiting requests of one service. It is not safe for
 // concurrent use.
 type Queue struct {
-	settings Settings
-	capacity int
-	running  int
-	waiting  items
-	perRank  map[uint32]int
-	arrivals uint64
-	owed     float64
-	// service is the smoothed time from admission to the end, of all requests;
-	// byRank that of each class. A lower class also waits for slots within it.
-	service time.Duration
-	byRank  map[uint32]time.Duration
+	settings      Settings
+	capacity      int
+	running       int
+	waiting       requestHeap
+	waitingByRank map[uint32]int
+	arrivals      uint64
+	// floorCredit accumulates FloorShare per admission; at 1 the lowest waiting class
+	// is admitted next.
+	floorCredit float64
+	// serviceTime is the smoothed time from admission to completion of all requests,
+	// serviceByRank that of each class. For lower classes it includes waiting for slots.
+	serviceTime   time.Duration
+	serviceByRank map[uint32]time.Duration
 }
 
 // New returns an empty queue that admits up to capacity requests at a time.
 func New(settings Settings, capacity int) *Queue {
-	return &Queue{settings: settings, capacity: capacity, perRank: map[uint32]int{}, byRank: map[uint32]time.Duration{}}
+	return &Queue{settings: settings, capacity: capacity, waitingByRank: map[uint32]int{}, serviceByRank: map[uint32]time.Duration{}}
 }
 
-// SetCapacity changes how many requests may run at a time.
+// SetCapacity sets how many requests may run at a time. Running requests are unaffected.
 func (q *Queue) SetCapacity(capacity int) { q.capacity = capacity }
 
-// Offer takes a request in, or refuses it with the time after which a new try
-// has a chance. The request is admitted by a later call of Admit.
+// Offer queues a request, or refuses it and returns the delay after which a retry may
+// succeed. A queued request is admitted by a later call of Admit.
 func (q *Queue) Offer(item *Item, now time.Time) (Refusal, time.Duration) {
 	wait := q.Wait(item.Rank)
 	service := q.Service(item.Rank)
-	hopeless := now.Add(wait + service).After(item.Deadline)
+	tooLate := now.Add(wait + service).After(item.Deadline)
 	if !now.Before(item.Deadline) {
 		return TooLate, service
 	}
-	if q.settings.Order == ByClass && hopeless && !q.idle() {
+	if q.settings.Order == ByClass && tooLate && !q.idle() {
 		return TooLate, max(wait, service)
 	}
-	if q.perRank[item.Rank] >= q.settings.Length {
+	if q.waitingByRank[item.Rank] >= q.settings.Length {
 		return QueueFull, max(wait, service)
 	}
 	q.arrivals++
 	item.arrival = q.arrivals
 	item.order = q.settings.Order
-	q.perRank[item.Rank]++
+	q.waitingByRank[item.Rank]++
 	heap.Push(&q.waiting, item)
 	return Accepted, 0
 }
 
-// idle reports whether nothing runs or waits. A request is then let in
-// whatever the estimate says: an estimate that let nothing in would never be
-// corrected.
+// idle reports whether nothing runs or waits. An idle queue accepts a request whatever
+// the estimate says, because an estimate that refuses everything would get no samples.
 func (q *Queue) idle() bool { return q.running == 0 && len(q.waiting) == 0 }
 
 // Wait estimates how long a new request of the given rank would wait.
 func (q *Queue) Wait(rank uint32) time.Duration {
 	ahead := 0
-	for r, n := range q.perRank {
+	for r, n := range q.waitingByRank {
 		if r <= rank || q.settings.Order == FIFO {
 			ahead += n
 		}
@@ -123,46 +125,47 @@
 	if ahead < free || q.capacity <= 0 {
 		return 0
 	}
-	return q.service * time.Duration(ahead+1) / time.Duration(q.capacity)
+	return q.serviceTime * time.Duration(ahead+1) / time.Duration(q.capacity)
 }
 
-// Service returns the smoothed time from admission to the end of requests of a
-// class, or of all while none of the class has ended.
+// Service returns the smoothed time from admission to completion of the requests of a
+// class, or of all requests if none of the class has completed.
 func (q *Queue) Service(rank uint32) time.Duration {
-	if own, ok := q.byRank[rank]; ok {
+	if own, ok := q.serviceByRank[rank]; ok {
 		return own
 	}
-	return q.service
+	return q.serviceTime
 }
 
 // Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// Running returns the number of admitted requests that have not ended.
+// Running returns the number of admitted requests that have not completed.
 func (q *Queue) Running() int { return q.running }
 
-// Admit calls Admitted of every request whose turn has come.
+// Admit calls Admitted of waiting requests, in order, while there is free capacity.
 func (q *Queue) Admit() {
 	for q.running < q.capacity && len(q.waiting) > 0 {
 		item := q.next()
-		q.perRank[item.Rank]--
+		q.waitingByRank[item.Rank]--
 		q.running++
 		item.Admitted()
 	}
 }
 
+// next removes the request to admit next from the heap; the heap must not be empty.
 func (q *Queue) next() *Item {
 	if q.settings.Order == ByClass {
-		q.owed += q.settings.FloorShare
-		if q.owed >= 1 {
-			q.owed--
+		q.floorCredit += q.settings.FloorShare
+		if q.floorCredit >= 1 {
+			q.floorCredit--
 			return heap.Remove(&q.waiting, q.lowest()).(*Item)
 		}
 	}
 	return heap.Pop(&q.waiting).(*Item)
 }
 
-// lowest is the index of the most urgent request of the lowest class waiting.
+// lowest returns the index of the most urgent request of the lowest waiting class.
 func (q *Queue) lowest() int {
 	best := 0
 	for i, item := range q.waiting {
@@ -173,29 +176,30 @@
 	return best
 }
 
-// Withdraw takes a waiting request out. It reports false if the request has
-// been admitted already; then Done has to be called.
+// Withdraw removes a waiting request. It reports false if the request is not waiting;
+// if it has been admitted, the caller must still call Done.
 func (q *Queue) Withdraw(item *Item) bool {
 	if item.index < 0 || item.index >= len(q.waiting) || q.waiting[item.index] != item {
 		return false
 	}
 	heap.Remove(&q.waiting, item.index)
-	q.perRank[item.Rank]--
+	q.waitingByRank[item.Rank]--
 	return true
 }
 
-// Done notes that an admitted request of a class ended. ran is the time since
-// it was admitted; pass 0 where it says nothing about the service.
+// Done records that an admitted request of the given class has completed. ran is the
+// time since its admission; 0 leaves the service time estimates unchanged.
 func (q *Queue) Done(rank uint32, ran time.Duration) {
 	q.running--
 	if ran <= 0 {
 		return
 	}
-	q.byRank[rank] = smooth(q.byRank[rank], ran)
-	q.service = smooth(q.service, ran)
+	q.serviceByRank[rank] = smooth(q.serviceByRank[rank], ran)
+	q.serviceTime = smooth(q.serviceTime, ran)
 }
 
-// smooth moves an estimate towards a sample, bounded to outlierFactor times it.
+// smooth returns the moving average after a sample, which is first capped at
+// outlierFactor times the estimate. An estimate of 0 has no samples yet.
 func smooth(estimate, sample time.Duration) time.Duration {
 	if estimate == 0 {
 		return sample
@@ -204,12 +208,12 @@
 	return estimate + time.Duration(serviceSmoothing*float64(sample-estimate))
 }
 
-// items is a heap of waiting requests.
-type items []*Item
+// requestHeap holds the waiting requests; it implements heap.Interface.
+type requestHeap []*Item
 
-func (h items) Len() int { return len(h) }
+func (h requestHeap) Len() int { return len(h) }
 
-func (h items) Less(i, j int) bool {
+func (h requestHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	if a.order == FIFO {
 		return a.arrival < b.arrival
@@ -223,21 +227,21 @@
 	return a.arrival < b.arrival
 }
 
-func (h items) Swap(i, j int) {
+func (h requestHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index = i
 	h[j].index = j
 }
 
-// Push is part of heap.Interface.
-func (h *items) Push(x any) {
+// Push implements heap.Interface.
+func (h *requestHeap) Push(x any) {
 	item := x.(*Item)
 	item.index = len(*h)
 	*h = append(*h, item)
 }
 
-// Pop is part of heap.Interface.
-func (h *items) Pop() any {
+// Pop implements heap.Interface.
+func (h *requestHeap) Pop() any {
 	old := *h
 	item := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -21,9 +21,8 @@
 	return &admission.Item{Rank: rank, Deadline: start.Add(deadline), Admitted: admitted}
 }
 
-// A request that stalled for long, as when the host was frozen, must not make
-// the queue refuse all that follow. Seen in scripts/chaos.sh: after a freeze of
-// 6 s a pool refused every request for the rest of the run.
+// One stalled request, as when the host freezes, must not make the queue refuse all
+// later requests as too late.
 func TestOneStallDoesNotCloseTheQueue(t *testing.T) {
 	q := admission.New(settings(), 4)
 	for range 100 {
@@ -36,11 +35,11 @@
 	assert.Equal(t, refusal, admission.Accepted)
 	q.Admit()
 	q.Done(0, 6*time.Second)
-	assert.Assert(t, q.Service(0) < 20*time.Millisecond, "one sample moved the estimate to %v", q.Service(0))
+	assert.Assert(t, q.Service(0) < 20*time.Millisecond, "one outlier moved the estimate to %v", q.Service(0))
 }
 
-// However wrong the estimate is, an idle queue lets a request in, which
-// corrects it.
+// An idle queue accepts a request whatever the estimate says, so that a wrong estimate
+// is corrected.
 func TestIdleQueueRecovers(t *testing.T) {
 	q := admission.New(settings(), 4)
 	for range 100 {
@@ -57,7 +56,7 @@
 	assert.Assert(t, q.Service(0) < 6*time.Millisecond)
 }
 
-// model is the oracle of the queue: plain slices.
+// model is a reference implementation of the queue with a plain slice.
 type model struct {
 	waiting []*admission.Item
 	running int
@@ -85,7 +84,7 @@
 					m.waiting = append(m.waiting, it)
 				}
 				if (refusal == admission.QueueFull) != (sameRank >= 4) {
-					rt.Fatalf("refusal %v with %d waiting of the class", refusal, sameRank)
+					rt.Fatalf("Offer returned %v with %d requests of the class waiting", refusal, sameRank)
 				}
 			},
 			"admit": func(*rapid.T) { q.Admit() },
@@ -101,7 +100,7 @@
 				}
 				i := rapid.IntRange(0, len(m.waiting)-1).Draw(rt, "i")
 				if !q.Withdraw(m.waiting[i]) {
-					rt.Fatal("a waiting request could not be withdrawn")
+					rt.Fatal("Withdraw reported false for a waiting request")
 				}
 				m.waiting = append(m.waiting[:i], m.waiting[i+1:]...)
 			},
@@ -114,7 +113,7 @@
 	})
 }
 
-// admitted checks that no waiting request should have come before.
+// admitted moves a request to running and checks that no waiting request precedes it.
 func (m *model) admitted(rt *rapid.T, it *admission.Item) {
 	m.running++
 	for i, w := range m.waiting {
@@ -130,9 +129,8 @@
 	}
 }
 
-// A lower class that waits long for slots does not make the top class look
-// hopeless. Seen in the combined scenario: 69 of 1778 requests of the top class
-// were refused for the time that the lowest took.
+// Long service times of a lower class must not cause requests of the highest class to be
+// refused as too late.
 func TestEstimatesAreByClass(t *testing.T) {
 	q := admission.New(settings(), 4)
 	for range 100 {
@@ -148,7 +146,7 @@
 	assert.Equal(t, refusal, admission.Accepted)
 }
 
-func TestFloorKeepsTheLowestClassAlive(t *testing.T) {
+func TestFloorPreventsStarvationOfTheLowestClass(t *testing.T) {
 	q := admission.New(admission.Settings{Length: 1000, FloorShare: 0.125}, 1)
 	lowest := 0
 	for range 20 {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -85,7 +85,7 @@
 TestRelayTellsRefusalsAtOnce@internal/gateway/relay.go@s/refusals = time.After\(refusalGap\)/refusals = nil/@refusals are told with the parts
 TestQueueIsRememberedBetweenRareReports@replica/wait.go@s/halfLifeGaps\*l.queueGap/0*l.queueGap/@queues are forgotten between rare reports
 TestReplicaThatLosesAnswersIsChosenLess@replica/eject.go@s/\tleaf.lost \+= smoothing \* \(1 - leaf.lost\)\n//@failures do not count in the choice of a server
-TestFloodOfTheLowerRankLeavesTheHigherAlone@admission/gate.go@s/floorShare\*\(1-g.refuse\)\*g.offered\(\)\/r.work/0.2/@the floor of a rank grows with what it asks
+TestFloodOfTheLowerRankLeavesTheHigherAlone@admission/gate.go@s/floorShare\*\(1-g.refusedShare\)\*g.offeredWork\(\)\/r.work/0.2/@the floor of a rank grows with what it asks
 TestLateCallersComeLast@admission/gate.go@s/if r.late != ask.Late \{/if false {/@callers that come back late go with the others
 TestWritesDoNotGrowWithTheHosts@internal/control/announce.go@s/if a.followed.Load\(\) \{/if false {/@hosts that follow another announce themselves
 TestEntryOfALostFollowerGoes@internal/control/announce.go@s/leaveGrace = 3 \* time.Second/leaveGrace = time.Hour/@the entry of a lost follower stays
