--- a/limit/cold.go
+++ b/limit/cold.go
@@ -6,82 +6,90 @@
 )
 
 const (
-	// coldPart is the part of what a cold server takes that hosts use when they agree on
-	// who calls it. The rest is for hosts that do not: while one takes the place of another
-	// both call, and of three callers two may be replaced at once.
-	coldPart = 0.6
+	// coldUsableShare is the share of a cold server's bound that hosts use while they
+	// agree on its callers. The rest covers disagreement: while a caller is replaced, both
+	// the old and the new one call, and two of three callers may be replaced at once.
+	coldUsableShare = 0.6
 	// coldBurst is the number of requests that one host may send at once.
 	coldBurst = 1
-	// coldLeastWait is the least time after which a host asks again, so that a token that
-	// is there but for the rounding is not waited for in a loop.
-	coldLeastWait = time.Millisecond
-	// ColdSettle is for how long a host must have been among the callers of a cold server
-	// before it calls it: hosts that start together know of all others within two seconds.
+	// coldMinWait is the shortest wait that Take returns. It prevents a busy loop when
+	// rounding leaves slightly less than one token.
+	coldMinWait = time.Millisecond
+	// ColdSettle is how long a host must have been among the callers of a cold server
+	// before it sends requests. Hosts that start together know each other within this
+	// time.
 	ColdSettle = 2 * time.Second
 )
 
-// ColdBound is what a cold server takes from all hosts together.
+// ColdBound limits the requests that a cold server receives from all hosts together.
 type ColdBound struct {
-	// PerSecond is the number of requests a second that it tolerates; 0 is unknown, and no
-	// bound.
+	// PerSecond is the number of requests per second that the server tolerates; 0 means
+	// unknown, without a bound.
 	PerSecond float64
-	// Excess and Slack give the most requests in any second: PerSecond times Excess, and
-	// Slack more.
+	// Excess and Slack define the maximum in any second: PerSecond times Excess plus
+	// Slack requests.
 	Excess, Slack float64
 }
 
 // Known reports whether there is a bound.
 func (b ColdBound) Known() bool { return b.PerSecond > 0 }
 
-// most is the number of requests in any second that hosts that agree use.
-func (b ColdBound) most() float64 { return coldPart * (b.PerSecond*b.Excess + b.Slack) }
+// usable returns how many requests hosts send in any second while they agree on the
+// callers.
+func (b ColdBound) usable() float64 { return coldUsableShare * (b.PerSecond*b.Excess + b.Slack) }
 
-// Callers returns how many of a number of hosts may call a cold server: so few that each
-// sends two requests a second or more.
+// Callers returns how many of the given number of hosts may call a cold server: at least
+// one, and beyond that so few that each may send two or more requests in any second.
 func (b ColdBound) Callers(hosts int) int {
-	return min(hosts, max(1, int(b.most()/(2*coldBurst))))
+	return min(hosts, max(1, int(b.usable()/(2*coldBurst))))
 }
 
-// Rate returns the requests a second of each caller. In any second one sends at most that
-// and coldBurst more; 0 or less is none.
+// Rate returns the requests per second that each of the given number of callers may send.
+// With its burst, a caller sends at most coldBurst more in any second. A rate of 0 or less
+// permits none.
 func (b ColdBound) Rate(callers int) float64 {
-	return b.most()/float64(max(callers, 1)) - coldBurst
+	return b.usable()/float64(max(callers, 1)) - coldBurst
 }
 
-// Cold deals out what one host may send a cold server: nothing in the first ColdSettle as a
-// caller, then a steady rate. It is not safe for concurrent use.
+// Cold is a token bucket for the requests of one host to one cold server. It is empty
+// during the first ColdSettle as a caller and then fills at a steady rate. It is not safe
+// for concurrent use.
 type Cold struct {
 	tokens float64
-	at     time.Time
-	since  time.Time
+	// refilled is when tokens were last added; it lies in the future until ColdSettle has
+	// passed.
+	refilled time.Time
+	// callerSince is when the host became a caller; zero if it is none.
+	callerSince time.Time
 }
 
-// SetCaller notes whether the host is among the callers.
-func (c *Cold) SetCaller(is bool, now time.Time) {
+// SetCaller records whether the host is among the callers.
+func (c *Cold) SetCaller(caller bool, now time.Time) {
 	switch {
-	case !is:
+	case !caller:
 		*c = Cold{}
-	case c.since.IsZero():
-		c.since = now
-		c.at = now.Add(ColdSettle)
+	case c.callerSince.IsZero():
+		c.callerSince = now
+		c.refilled = now.Add(ColdSettle)
 	}
 }
 
 // IsCaller reports whether the host is among the callers.
-func (c *Cold) IsCaller() bool { return !c.since.IsZero() }
+func (c *Cold) IsCaller() bool { return !c.callerSince.IsZero() }
 
-// Take takes a request at a rate a second. Otherwise it returns when to ask again.
+// Take reports whether a request may be sent now, where tokens fill at rate per second.
+// If not, it returns the time after which to try again.
 func (c *Cold) Take(rate float64, now time.Time) (wait time.Duration, ok bool) {
-	if c.since.IsZero() || rate <= 0 {
+	if c.callerSince.IsZero() || rate <= 0 {
 		return ColdSettle, false
 	}
-	if now.Before(c.at) {
-		return c.at.Sub(now), false
+	if now.Before(c.refilled) {
+		return c.refilled.Sub(now), false
 	}
-	c.tokens = math.Min(coldBurst, c.tokens+rate*now.Sub(c.at).Seconds())
-	c.at = now
+	c.tokens = math.Min(coldBurst, c.tokens+rate*now.Sub(c.refilled).Seconds())
+	c.refilled = now
 	if c.tokens < 1 {
-		return max(time.Duration((1-c.tokens)/rate*float64(time.Second)), coldLeastWait), false
+		return max(time.Duration((1-c.tokens)/rate*float64(time.Second)), coldMinWait), false
 	}
 	c.tokens--
 	return 0, true
--- a/limit/cold_test.go
+++ b/limit/cold_test.go
@@ -11,15 +11,16 @@
 	"github.com/mallowgap/mallowgap/limit"
 )
 
-// coldFleet is a number of hosts that send a cold server whatever they may.
+// coldFleet is a set of hosts that call a cold server as often as they may.
 type coldFleet struct {
 	bound limit.ColdBound
 	hosts []*limit.Cold
 	sent  []time.Time
 }
 
-// press lets each host ask at each step for a time.
-func (f *coldFleet) press(from time.Time, length, step time.Duration) time.Time {
+// saturate makes every host send whenever permitted, checked at each step for the given
+// length, and returns the end.
+func (f *coldFleet) saturate(from time.Time, length, step time.Duration) time.Time {
 	rate := f.bound.Rate(f.bound.Callers(len(f.hosts)))
 	for now := from; now.Before(from.Add(length)); now = now.Add(step) {
 		for _, h := range f.hosts {
@@ -31,27 +32,28 @@
 	return from.Add(length)
 }
 
-// callers makes the hosts from an index on the callers, as far as they may be.
-func (f *coldFleet) callers(from int, now time.Time) {
+// setCallers makes as many hosts as permitted the callers, starting with index first and
+// wrapping around.
+func (f *coldFleet) setCallers(first int, now time.Time) {
 	n := f.bound.Callers(len(f.hosts))
 	for i, h := range f.hosts {
-		place := (i - from + len(f.hosts)) % len(f.hosts)
-		h.SetCaller(place < n, now)
+		position := (i - first + len(f.hosts)) % len(f.hosts)
+		h.SetCaller(position < n, now)
 	}
 }
 
-// busiest returns the most requests in any second.
-func (f *coldFleet) busiest() int {
-	most := 0
+// maxInOneSecond returns the largest number of requests sent in any second.
+func (f *coldFleet) maxInOneSecond() int {
+	largest := 0
 	for i, t := range f.sent {
 		end, _ := slices.BinarySearchFunc(f.sent, t.Add(time.Second), time.Time.Compare)
-		most = max(most, end-i)
+		largest = max(largest, end-i)
 	}
-	return most
+	return largest
 }
 
-// Whatever the number of hosts, and though they restart, change places and press as hard as
-// they can, a cold server gets no more in any second than it takes.
+// A cold server never receives more requests in any second than its bound, for any number
+// of hosts, also when hosts restart and callers change.
 func TestColdServerGetsNoMoreThanItTakes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &coldFleet{bound: limit.ColdBound{
@@ -63,32 +65,32 @@
 		}
 		now := time.Unix(1000, 0)
 		step := rapid.SampledFrom([]time.Duration{7 * time.Millisecond, 50 * time.Millisecond, 333 * time.Millisecond}).Draw(rt, "step")
-		f.callers(0, now)
+		f.setCallers(0, now)
 		for range rapid.IntRange(1, 4).Draw(rt, "events") {
-			now = f.press(now, time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms"))*time.Millisecond, step)
+			now = f.saturate(now, time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms"))*time.Millisecond, step)
 			switch rapid.IntRange(0, 2).Draw(rt, "event") {
-			case 0: // All restart together.
+			case 0: // All hosts restart together.
 				for _, h := range f.hosts {
 					*h = limit.Cold{}
 				}
-				f.callers(0, now)
-			case 1: // Others become the callers.
-				f.callers(rapid.IntRange(0, len(f.hosts)-1).Draw(rt, "from"), now)
-			case 2: // One starts again.
+				f.setCallers(0, now)
+			case 1: // Other hosts become the callers.
+				f.setCallers(rapid.IntRange(0, len(f.hosts)-1).Draw(rt, "from"), now)
+			case 2: // One host restarts.
 				*f.hosts[0] = limit.Cold{}
-				f.callers(0, now)
+				f.setCallers(0, now)
 			}
 		}
-		f.press(now, 3*time.Second, step)
-		most := f.bound.PerSecond*f.bound.Excess + f.bound.Slack
-		if got := f.busiest(); float64(got) > most {
-			rt.Fatalf("%d in one second, %v are allowed", got, most)
+		f.saturate(now, 3*time.Second, step)
+		bound := f.bound.PerSecond*f.bound.Excess + f.bound.Slack
+		if got := f.maxInOneSecond(); float64(got) > bound {
+			rt.Fatalf("%d requests in one second exceed the bound of %v", got, bound)
 		}
 	})
 }
 
-// Half as many callers again, because hosts do not agree on them, stay below the bound.
-func TestColdBoundHoldsWhereHostsDoNotAgree(t *testing.T) {
+// The bound holds with 50% more callers than intended, as when hosts disagree on them.
+func TestColdBoundHoldsWhenHostsDisagree(t *testing.T) {
 	for _, perSecond := range []float64{1, 4, 10, 40} {
 		f := &coldFleet{bound: limit.ColdBound{PerSecond: perSecond, Excess: 1.5, Slack: 5}}
 		agreed := f.bound.Callers(60)
@@ -106,16 +108,16 @@
 				}
 			}
 		}
-		assert.Assert(t, float64(f.busiest()) <= perSecond*1.5+5, "%v: %d", perSecond, f.busiest())
-		assert.Assert(t, len(f.sent) > int(perSecond), "%v: %d in 6 s: hardly anything is sent", perSecond, len(f.sent))
+		assert.Assert(t, float64(f.maxInOneSecond()) <= perSecond*1.5+5, "%v per second: %d requests in one second", perSecond, f.maxInOneSecond())
+		assert.Assert(t, len(f.sent) > int(perSecond), "%v per second: only %d requests sent in 6 s", perSecond, len(f.sent))
 	}
 }
 
-func TestColdSaysWhenToAskAgain(t *testing.T) {
+func TestColdReturnsTheWaitForTheNextToken(t *testing.T) {
 	c := &limit.Cold{}
 	now := time.Unix(1000, 0)
 	wait, ok := c.Take(5, now)
-	assert.Assert(t, !ok && wait > 0, "no caller")
+	assert.Assert(t, !ok && wait > 0, "a host that is no caller may not send")
 	c.SetCaller(true, now)
 	wait, ok = c.Take(5, now)
 	assert.Assert(t, !ok && wait == limit.ColdSettle)
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -11,8 +11,8 @@
 	"github.com/mallowgap/mallowgap/limit"
 )
 
-// The shares of all homes add up to exactly the slots of each replica, and each
-// home has a slot of each shard while there are enough.
+// The shares of all homes add up to exactly the slots of each replica, and every home
+// has a slot of the shard while there are enough.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		replicas := rapid.IntRange(1, 7).Draw(rt, "replicas")
@@ -20,13 +20,13 @@
 		homes := rapid.SampledFrom([]int{1, 2, 3, 7, 40}).Draw(rt, "homes")
 		sums := make([]int, replicas)
 		for home := range homes {
-			own := 0
+			total := 0
 			for r, share := range limit.Share(replicas, slots, homes, home) {
 				sums[r] += share
-				own += share
+				total += share
 			}
-			if homes <= replicas*slots && own == 0 {
-				rt.Fatalf("home %d of %d has no slot", home, homes)
+			if homes <= replicas*slots && total == 0 {
+				rt.Fatalf("home %d of %d has no slot of the shard", home, homes)
 			}
 		}
 		for r, sum := range sums {
@@ -47,19 +47,19 @@
 	assert.Equal(t, s.Limit(now.Add(2*time.Second)), 8)
 }
 
-func TestShedLowersTheLimitForAWhile(t *testing.T) {
+func TestShedTemporarilyLowersTheLimit(t *testing.T) {
 	s := limit.NewSlots(2)
 	now := time.Unix(100, 0)
 	s.Acquire(now)
 	s.Acquire(now)
 	s.Release()
 	s.Shed(now)
-	assert.Equal(t, s.Limit(now), 1, "one runs: no more than that for now")
+	assert.Equal(t, s.Limit(now), 1, "limited to the request running when the server shed one")
 	assert.Equal(t, s.Limit(now.Add(limit.ShedPause)), 2)
 }
 
 func ExampleShare() {
-	// Two replicas of four slots each, dealt out to three homes.
+	// Two replicas of four slots each, shared by three homes.
 	for home := range 3 {
 		fmt.Println(limit.Share(2, 4, 3, home))
 	}
--- a/limit/slots.go
+++ b/limit/slots.go
@@ -3,55 +3,56 @@
 import "time"
 
 const (
-	// ShedPause is for how long a server that shed a request gets no more
-	// requests than it had when it did so.
+	// ShedPause is how long, after a server shed a request, it runs no more requests
+	// of this host than it did at that moment.
 	ShedPause = 25 * time.Millisecond
-	// rampTime is the time in which a server that just started gets from one
-	// slot to all of its share.
-	rampTime = 2 * time.Second
+	// rampDuration is the time in which the limit of a restarted server grows from one
+	// slot to the full share.
+	rampDuration = 2 * time.Second
 )
 
-// Slots counts the requests running on one backend server. It is not safe for
-// concurrent use.
+// Slots limits the requests that this host runs on one backend server. It is not safe
+// for concurrent use.
 type Slots struct {
 	share     int
 	inUse     int
 	shedUntil time.Time
-	// shedAt is the number of requests running when a request was shed.
-	shedAt   int
-	rampFrom time.Time
+	// inUseAtShed is the number of requests running when a request was last shed.
+	inUseAtShed int
+	rampStart   time.Time
 }
 
-// NewSlots returns the slots of a server of which share belong to this home.
+// NewSlots returns the limiter of a server of which this home holds share slots.
 func NewSlots(share int) Slots {
 	return Slots{share: share}
 }
 
-// SetShare changes the share. Requests already running are not touched.
+// SetShare changes the number of slots held. Running requests are unaffected.
 func (s *Slots) SetShare(share int) { s.share = share }
 
-// Share returns the share.
+// Share returns the number of slots held, without temporary reductions.
 func (s *Slots) Share() int { return s.share }
 
-// InUse returns the number of requests running.
+// InUse returns the number of running requests.
 func (s *Slots) InUse() int { return s.inUse }
 
 // Free reports whether another request may start at now.
 func (s *Slots) Free(now time.Time) bool { return s.inUse < s.Limit(now) }
 
-// Limit returns how many requests may run at now.
+// Limit returns how many requests may run at now: the share, reduced after a restart
+// and after a shed request.
 func (s *Slots) Limit(now time.Time) int {
 	limit := s.share
-	if age := now.Sub(s.rampFrom); !s.rampFrom.IsZero() && age < rampTime && limit > 1 {
-		limit = 1 + int(float64(limit-1)*float64(age)/float64(rampTime))
+	if age := now.Sub(s.rampStart); !s.rampStart.IsZero() && age < rampDuration && limit > 1 {
+		limit = 1 + int(float64(limit-1)*float64(age)/float64(rampDuration))
 	}
 	if now.Before(s.shedUntil) {
-		limit = min(limit, s.shedAt)
+		limit = min(limit, s.inUseAtShed)
 	}
 	return limit
 }
 
-// Acquire takes a slot. It reports false, and takes none, if none is free.
+// Acquire takes a slot and reports whether one was free.
 func (s *Slots) Acquire(now time.Time) bool {
 	if !s.Free(now) {
 		return false
@@ -60,15 +61,16 @@
 	return true
 }
 
-// Release gives a slot back.
+// Release returns a slot taken by Acquire.
 func (s *Slots) Release() { s.inUse-- }
 
-// Shed notes that the server refused a request because it was full: others hold
-// slots there, or requests that were cancelled still run.
+// Shed records that the server refused a request because it was full. This happens when
+// other hosts hold its slots or cancelled requests still run, so the limit is lowered for
+// ShedPause.
 func (s *Slots) Shed(now time.Time) {
 	s.shedUntil = now.Add(ShedPause)
-	s.shedAt = s.inUse
+	s.inUseAtShed = s.inUse
 }
 
-// Restarted notes that the server started at about now and is cold.
-func (s *Slots) Restarted(now time.Time) { s.rampFrom = now }
+// Restarted records that the server started at about now, which begins its ramp-up.
+func (s *Slots) Restarted(now time.Time) { s.rampStart = now }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -110,7 +110,7 @@
 TestLaterProcessUnderTheSameIdentifier@discovery/registry.go@s/if known.server.Replaces\(server\) \{/if false {/@the late entry of a former process counts
 TestUnreadableEntryNamesNoServer@internal/control/state.go@s/s.registry.Drop\(e.Name\)/false/@the older entry stays in use
 TestOnlyColdServersAreLeft@internal/gateway/cold.go@s/if wait, ok := b.cold.Take\(.*\n\t\treturn &coldError\{wait: wait\}\n\t\}/_ = b/@a cold server gets what others would
-TestColdServerGetsNoMoreThanItTakes@limit/cold.go@s/coldPart = 0.6/coldPart = 1.5/@too much is dealt out to cold servers
+TestColdServerGetsNoMoreThanItTakes@limit/cold.go@s/coldUsableShare = 0.6/coldUsableShare = 1.5/@too much is dealt out to cold servers
 TestFreeReplicaIsNotWaitedFor@replica/set.go@s/ \|\| leaf.Slots.Free\(now\) \{\n\t\t\tcontinue\n\t\t\}\n\t\tlimit/ {\n\t\t\tcontinue\n\t\t}\n\t\tlimit/@a free replica is waited for
 TestIdleTimeIsNoSilenceOfAServer@internal/gateway/pick.go@s/\tg.set.Acquire\(i, now\)\n/\tb.leaf.Slots.Acquire(now)\n/@the time before a call counts as silence
 TestHostThatIsCutOffRefusesWhatItCannotServe@internal/gateway/reach.go@s/return lost > 0/return false/@a host that is cut off holds what it cannot serve
