--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,8 +1,8 @@
-// Package retry bounds the extra load of retries and hedges, and says when a
-// hedge is due.
+// Package retry bounds the extra load of retries and hedged requests, and computes the
+// delay after which to hedge.
 //
-// Invariant: over any run of first attempts, the extra attempts permitted are
-// at most share times the first attempts plus the size of the bucket. The
-// bucket fills with first attempts and not with time, so it does not fill
-// while a service is failing.
+// Invariant: over any sequence of first attempts, a Budget permits at most share times
+// the first attempts plus the bucket size extra attempts. The bucket is refilled by first
+// attempts and not by time, so that the extra load stays proportional to the offered load
+// while a service fails.
 package retry
--- a/retry/hedge.go
+++ b/retry/hedge.go
@@ -7,42 +7,46 @@
 )
 
 const (
-	// windowSize is the number of samples after which the window moves on.
+	// windowSize is the number of samples in one histogram; then the next one is filled.
 	windowSize = 256
-	// minSamples is how many samples are needed before a delay is given.
+	// minSamples is the number of samples required before a delay is returned.
 	minSamples = 20
-	// refreshEvery is the number of samples between two computations.
-	refreshEvery  = 16
-	highestMicros = int64(60 * time.Second / time.Microsecond)
+	// refreshInterval is the number of samples between two computations of the delay.
+	refreshInterval = 16
+	// maxMicros is the largest recorded latency, in microseconds; longer ones are capped.
+	maxMicros = int64(60 * time.Second / time.Microsecond)
 )
 
-// HedgeDelay follows the recent latency of one shard and gives the delay after
-// which a second attempt is worth its load. It is not safe for concurrent use.
+// HedgeDelay computes the delay after which to hedge a request to one shard, as a
+// percentile of the shard's recent latency. It is not safe for concurrent use.
 type HedgeDelay struct {
-	quantile float64
-	floor    time.Duration
+	percentile float64
+	minDelay   time.Duration
+	// current receives samples; previous holds the window before and is used while it has
+	// more samples.
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
 	delay    time.Duration
-	samples  int
+	// samples counts all samples ever observed.
+	samples int
 }
 
-// NewHedgeDelay returns a delay at the given quantile (0 to 100) of the recent
-// latency, never below floor.
-func NewHedgeDelay(quantile float64, floor time.Duration) *HedgeDelay {
+// NewHedgeDelay returns a delay at the given percentile (0 to 100) of the recent latency,
+// but not below minDelay.
+func NewHedgeDelay(percentile float64, minDelay time.Duration) *HedgeDelay {
 	return &HedgeDelay{
-		quantile: quantile,
-		floor:    floor,
-		current:  hdrhistogram.New(1, highestMicros, 1),
-		previous: hdrhistogram.New(1, highestMicros, 1),
+		percentile: percentile,
+		minDelay:   minDelay,
+		current:    hdrhistogram.New(1, maxMicros, 1),
+		previous:   hdrhistogram.New(1, maxMicros, 1),
 	}
 }
 
-// Observe adds the latency of one answered attempt.
+// Observe records the latency of one answered attempt.
 func (h *HedgeDelay) Observe(latency time.Duration) {
-	_ = h.current.RecordValue(min(max(latency.Microseconds(), 1), highestMicros))
+	_ = h.current.RecordValue(min(max(latency.Microseconds(), 1), maxMicros))
 	h.samples++
-	if h.samples%refreshEvery == 0 {
+	if h.samples%refreshInterval == 0 {
 		h.refresh()
 	}
 	if h.current.TotalCount() >= windowSize {
@@ -51,18 +55,19 @@
 	}
 }
 
+// refresh recomputes the delay from the histogram with more samples.
 func (h *HedgeDelay) refresh() {
 	source := h.current
 	if h.previous.TotalCount() > source.TotalCount() {
 		source = h.previous
 	}
-	h.delay = time.Duration(source.ValueAtQuantile(h.quantile)) * time.Microsecond
+	h.delay = time.Duration(source.ValueAtQuantile(h.percentile)) * time.Microsecond
 }
 
-// Delay returns the hedge delay, and false while too little is known.
+// Delay returns the hedge delay, or false while there are fewer than minSamples samples.
 func (h *HedgeDelay) Delay() (time.Duration, bool) {
 	if h.samples < minSamples {
 		return 0, false
 	}
-	return max(h.delay, h.floor), true
+	return max(h.delay, h.minDelay), true
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -11,8 +11,8 @@
 	"github.com/mallowgap/mallowgap/retry"
 )
 
-// Whatever happens, extra attempts stay below share times first attempts plus
-// the bucket.
+// Extra attempts never exceed share times the first attempts plus the bucket size, for any
+// sequence of attempts.
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := retry.NewBudget(0.05, 20)
@@ -26,24 +26,24 @@
 				extra++
 			}
 			if float64(extra) > 0.05*float64(first)+20 {
-				rt.Fatalf("%d extra for %d first attempts", extra, first)
+				rt.Fatalf("%d extra attempts for %d first attempts", extra, first)
 			}
 		}
 	})
 }
 
-func TestHalfIsKeptForTheTopClass(t *testing.T) {
+func TestHalfIsReservedForTheHighestClass(t *testing.T) {
 	b := retry.NewBudget(0, 20)
 	lower := 0
 	for b.Take(1) {
 		lower++
 	}
-	top := 0
+	highest := 0
 	for b.Take(0) {
-		top++
+		highest++
 	}
 	assert.Equal(t, lower, 10)
-	assert.Equal(t, top, 10)
+	assert.Equal(t, highest, 10)
 }
 
 func TestHedgeDelayFollowsLatency(t *testing.T) {
@@ -55,12 +55,12 @@
 	}
 	delay, ok := h.Delay()
 	assert.Assert(t, ok)
-	assert.Assert(t, delay > 80*time.Millisecond && delay < 110*time.Millisecond, "%v", delay)
+	assert.Assert(t, delay > 80*time.Millisecond && delay < 110*time.Millisecond, "delay %v", delay)
 	for range 1000 {
 		h.Observe(time.Millisecond)
 	}
 	delay, _ = h.Delay()
-	assert.Assert(t, delay < 2*time.Millisecond, "%v", delay)
+	assert.Assert(t, delay < 2*time.Millisecond, "delay %v", delay)
 }
 
 func ExampleBudget() {
--- a/retry/window.go
+++ b/retry/window.go
@@ -2,75 +2,79 @@
 
 import "time"
 
-// windowSlices is the number of slices of a window; a slice counts until the
-// last of its attempts has left the window.
-const windowSlices = 20
+// windowBuckets is the number of time buckets of a window. A bucket counts until the last
+// of its attempts has left the window.
+const windowBuckets = 20
 
-// Window bounds the extra attempts of one service over a sliding span of time,
-// as a share of its first attempts in the same span plus a slack. It is not
-// safe for concurrent use.
+// Window bounds the extra attempts of one service in a sliding time window to a share of
+// its first attempts in the same window plus a constant slack. It is not safe for
+// concurrent use.
 type Window struct {
 	span time.Duration
-	// epoch is the first time seen: slices are counted from there, on the
-	// steady clock, as the time of day may jump.
-	epoch  time.Time
-	slices [windowSlices + 1]windowSlice
+	// epoch is the start of bucket 0, one span before the first use. It has a monotonic
+	// clock reading, so that changes of the wall clock have no effect.
+	epoch time.Time
+	// buckets is a ring, indexed by the bucket number modulo its length.
+	buckets [windowBuckets + 1]windowBucket
 }
 
-type windowSlice struct {
+// windowBucket counts the attempts of one time bucket.
+type windowBucket struct {
+	// number is the position of the bucket since epoch.
 	number       int64
 	first, extra int
 }
 
-// NewWindow returns an empty window of the given span.
+// NewWindow returns an empty window of the given length.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
-// First notes n first attempts.
-func (w *Window) First(n int, now time.Time) { w.slice(now).first += n }
+// First records n first attempts.
+func (w *Window) First(n int, now time.Time) { w.bucket(now).first += n }
 
-// Take takes an extra attempt if, with it, the extra attempts of the span are
-// at most share times its first attempts plus slack.
+// Take reports whether an extra attempt is permitted, and records it if so: including it,
+// the extra attempts in the window are at most share times the first attempts plus slack.
 func (w *Window) Take(share, slack float64, now time.Time) bool {
 	return w.TakePart(1, share, slack, now)
 }
 
-// TakePart is Take for an attempt that may only use a part (0 to 1) of what is
-// permitted, so that the rest is left to others. Only whole attempts are kept
-// back: of a few permitted ones none is.
-func (w *Window) TakePart(part, share, slack float64, now time.Time) bool {
+// TakePart is like Take, but uses only the given fraction (0 to 1) of the permitted extra
+// attempts, rounded up to a whole attempt, and leaves the rest to other callers.
+func (w *Window) TakePart(fraction, share, slack float64, now time.Time) bool {
 	first, extra := w.Counts(now)
 	permitted := share*float64(first) + slack
-	if float64(extra+1) > permitted || float64(extra) >= part*permitted {
+	if float64(extra+1) > permitted || float64(extra) >= fraction*permitted {
 		return false
 	}
-	w.slice(now).extra++
+	w.bucket(now).extra++
 	return true
 }
 
-// Counts returns the first and extra attempts of the span that ends at now.
+// Counts returns the numbers of first and extra attempts in the window that ends at now.
 func (w *Window) Counts(now time.Time) (first, extra int) {
-	oldest := w.number(now) - windowSlices
-	for i := range w.slices {
-		if s := &w.slices[i]; s.number >= oldest {
-			first += s.first
-			extra += s.extra
+	oldest := w.bucketNumber(now) - windowBuckets
+	for i := range w.buckets {
+		if b := &w.buckets[i]; b.number >= oldest {
+			first += b.first
+			extra += b.extra
 		}
 	}
 	return first, extra
 }
 
-func (w *Window) number(now time.Time) int64 {
+// bucketNumber returns the number of the bucket of now.
+func (w *Window) bucketNumber(now time.Time) int64 {
 	if w.epoch.IsZero() {
 		w.epoch = now.Add(-w.span)
 	}
-	return int64(now.Sub(w.epoch) / (w.span / windowSlices))
+	return int64(now.Sub(w.epoch) / (w.span / windowBuckets))
 }
 
-func (w *Window) slice(now time.Time) *windowSlice {
-	number := w.number(now)
-	s := &w.slices[number%int64(len(w.slices))]
-	if s.number != number {
-		*s = windowSlice{number: number}
+// bucket returns the bucket of now, which is reset if it still holds an earlier one.
+func (w *Window) bucket(now time.Time) *windowBucket {
+	number := w.bucketNumber(now)
+	b := &w.buckets[number%int64(len(w.buckets))]
+	if b.number != number {
+		*b = windowBucket{number: number}
 	}
-	return s
+	return b
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -11,8 +11,8 @@
 	"github.com/mallowgap/mallowgap/retry"
 )
 
-// In any span, the extra attempts of all hosts together stay within the share
-// of the first attempts of it and the span before, plus the whole slack.
+// In any window, the extra attempts of all hosts together are at most the share of the
+// first attempts in it and in the window before, plus the total slack.
 func TestWindowHoldsOverAnySpan(t *testing.T) {
 	const span, share, slack = 10 * time.Second, 0.2, 30.0
 	type event struct {
@@ -49,7 +49,7 @@
 				}
 			}
 			if float64(extra) > share*float64(first)+slack {
-				rt.Fatalf("%d extra attempts for %d first ones", extra, first)
+				rt.Fatalf("%d extra attempts for %d first attempts", extra, first)
 			}
 		}
 	})
@@ -78,13 +78,13 @@
 	}
 }
 
-// A part of a small budget was once rounded down: a host of a large fleet, which
-// has two or three extra attempts a shard in ten seconds, lost one of them.
+// The fraction of a budget must not be rounded down: a host of a large fleet has only two
+// or three extra attempts per shard in a window.
 func TestPartOfASmallBudgetIsNotRoundedDown(t *testing.T) {
-	taken := func(part, slack float64) int {
+	taken := func(fraction, slack float64) int {
 		w := retry.NewWindow(10 * time.Second)
 		n := 0
-		for w.TakePart(part, 0, slack, time.Unix(1000, 0)) {
+		for w.TakePart(fraction, 0, slack, time.Unix(1000, 0)) {
 			n++
 		}
 		return n
@@ -92,6 +92,6 @@
 	assert.Equal(t, taken(1, 3.2), 3)
 	assert.Equal(t, taken(0.7, 3.2), 3)
 	assert.Equal(t, taken(0.5, 3.2), 2)
-	assert.Equal(t, taken(0.7, 30), 21, "of a large one a part is kept back")
+	assert.Equal(t, taken(0.7, 30), 21, "a large budget keeps the rest for others")
 	assert.Equal(t, taken(0, 30), 0)
 }
