--- a/scarcity/doc.go
+++ b/scarcity/doc.go
@@ -1,12 +1,12 @@
-// Package scarcity decides which shards a query asks where some have no good server.
+// Package scarcity decides which shards a query asks when some shards are scarce, that is
+// when even their fastest servers are slow.
 //
-// An answer may lack a few shards. Where more than these have only slow servers, a query
-// that asks all of them takes places that others need and gets too few in time itself: all
-// queries wait for the same shards and all are late. A query that asks only as many of them
-// as its least share needs, chosen by a draw of its own, leaves the rest of the room to
-// others.
+// An answer may lack a few shards. If more shards than that are scarce and every query
+// asks all of them, the queries compete for the same slots and too few parts of each
+// arrive in time. A query that asks only as many scarce shards as it needs, in a random
+// order of its own, leaves the remaining capacity to other queries.
 //
-// Invariants: a shard that is not scarce is always asked; of the scarce ones, where a query needs three at the most, no more are
-// under way than the least share still needs; where it needs none of them, they are asked
-// only where that takes nobody's place.
+// Invariants: a shard that is not scarce is always asked; if a query needs at most three
+// scarce shards, no more of them are in flight than it still needs; if it needs none, they
+// are asked only where that displaces no other query.
 package scarcity
--- a/scarcity/scarcity.go
+++ b/scarcity/scarcity.go
@@ -8,51 +8,52 @@
 )
 
 const (
-	// slowFactor is how many times longer than the middle shard of a query one must take
-	// to be scarce: as much as a server must be slower than another to be called slow.
+	// slowFactor is how many times longer than the median shard of a query a shard must
+	// take to be scarce.
 	slowFactor = 3
-	// leastPart is the part of the objective below which no shard is scarce: its parts
-	// come in time whatever the others take.
-	leastPart = 0.25
-	// mostInTurn is the number of scarce shards that a query needs up to which it asks no
-	// more than it needs. One that needs more runs out of time while it asks them in turn.
-	mostInTurn = 3
+	// minSlowShare is the share of the objective up to which no shard is scarce: its parts
+	// arrive in time however fast the other shards are.
+	minSlowShare = 0.25
+	// maxSequential is the largest number of missing scarce shards up to which a query asks
+	// no more than it needs. A query that misses more would run out of time by asking
+	// replacements one after the other.
+	maxSequential = 3
 )
 
-// State is how far a query is with a shard.
+// State is the progress of a query at one shard.
 type State int
 
 const (
-	// Waiting: an attempt may be made now.
+	// Waiting means that an attempt may be made now.
 	Waiting State = iota
-	// Running: an attempt is under way.
+	// Running means that an attempt is in flight.
 	Running
-	// Resting: an attempt may be made later.
+	// Resting means that an attempt may be made later.
 	Resting
-	// Covered: its part is in.
+	// Covered means that the part of the shard has arrived.
 	Covered
-	// Closed: it gets no more attempts.
+	// Closed means that no more attempts are made.
 	Closed
 )
 
-// Verdict is what becomes of a shard now.
+// Verdict is the decision on one shard.
 type Verdict int
 
 const (
-	// Ask: it is asked, whatever waits there.
+	// Ask means that the shard is asked, even if requests wait at its servers.
 	Ask Verdict = iota
-	// AskIfIdle: it is asked where that takes nobody's place.
+	// AskIfIdle means that the shard is asked only where that displaces no other request.
 	AskIfIdle
-	// LeaveOut: it is not asked now.
+	// LeaveOut means that the shard is not asked for now.
 	LeaveOut
 )
 
-// Shard is what a query knows of one of its shards.
+// Shard describes one shard of a query.
 type Shard struct {
 	State State
-	// Run is how long the server that brings its part first takes for it, Expected the same
-	// with the wait there; 0 is unknown, and good. The wait makes no shard scarce: where
-	// all servers are busy it changes from one moment to the next.
+	// Run is the processing time of the server that is expected to answer first; Expected
+	// adds the wait there. 0 means unknown, which counts as fast. Only Run makes a shard
+	// scarce, because the wait changes too quickly while all servers are busy.
 	Run, Expected time.Duration
 }
 
@@ -61,53 +62,53 @@
 	order []int
 }
 
-// NewChoice draws the order for a query over a number of shards. The draw is the host's, so
-// that callers cannot choose it.
+// NewChoice draws a random order for a query over the given number of shards. rng belongs
+// to the host, so that callers cannot influence the order.
 func NewChoice(shards int, rng *rand.Rand) *Choice { return &Choice{order: rng.Perm(shards)} }
 
-// Terms are those of one query.
+// Terms are the requirements of one query.
 type Terms struct {
-	// Needed is the number of shards that its answer must hold, Spare that which an answer
-	// may lack to any query over the same shards.
+	// Needed is the number of shards that the answer must contain. Spare is the number
+	// that may be missing from an answer to any query over the same shards.
 	Needed, Spare int
-	// Objective is the time within which an answer has its full worth, Left what is left
-	// of it for parts to come.
+	// Objective is the time within which an answer has its full value, Left what remains
+	// of it.
 	Objective, Left time.Duration
 }
 
-// Decide returns what becomes of each shard, or nil where none is scarce. The verdict counts
-// for shards that are Waiting.
+// Decide returns a verdict for each shard, or nil if no shard is scarce. Verdicts apply only
+// to shards that are Waiting.
 func (c *Choice) Decide(shards []Shard, t Terms) []Verdict {
-	scarce := mark(shards, t.Objective)
+	scarce := findScarce(shards, t.Objective)
 	if !slices.Contains(scarce, true) {
 		return nil
 	}
 	verdicts := make([]Verdict, len(shards))
-	lacking := t.Needed - hoped(shards, scarce)
-	if lacking <= 0 {
-		return c.optional(verdicts, scarce, t.Spare)
+	missing := t.Needed - countWithoutScarce(shards, scarce)
+	if missing <= 0 {
+		return c.verdictsIfUnneeded(verdicts, scarce, t.Spare)
 	}
-	if lacking > mostInTurn {
+	if missing > maxSequential {
 		return verdicts
 	}
 	for i, s := range shards {
 		if scarce[i] && s.State == Running {
-			lacking--
+			missing--
 		}
 	}
 	for _, i := range c.candidates(shards, scarce, t.Left) {
-		if lacking <= 0 {
+		if missing <= 0 {
 			verdicts[i] = LeaveOut
 		}
-		lacking--
+		missing--
 	}
 	return verdicts
 }
 
-// optional gives the verdicts of a query that needs no scarce shard: it asks them unless
-// others need them: a place that makes a query whole brings its worth, one more part of a
-// query that is whole brings the 40th part of it with 87 shards.
-func (c *Choice) optional(verdicts []Verdict, scarce []bool, spare int) []Verdict {
+// verdictsIfUnneeded fills in the verdicts of a query that needs no scarce shard. It leaves
+// them out if more are scarce than any answer may lack, that is if other queries need them: a
+// slot there can make another answer sufficient but adds only one more part to this one.
+func (c *Choice) verdictsIfUnneeded(verdicts []Verdict, scarce []bool, spare int) []Verdict {
 	verdict, count := AskIfIdle, 0
 	for _, s := range scarce {
 		if s {
@@ -125,10 +126,9 @@
 	return verdicts
 }
 
-// candidates returns the scarce shards that may be asked now: first those that can be in
-// time, in the order drawn, so that queries spread over them, then the others, the soonest
-// first. A query that spent its time on a shard without any server was late although
-// four others had room.
+// candidates returns the scarce shards that may be asked now: first those that are expected
+// to answer in time, in the random order, which spreads queries over them, then the others
+// by expected time, so that no time is spent on shards without a usable server.
 func (c *Choice) candidates(shards []Shard, scarce []bool, left time.Duration) []int {
 	var inTime, late []int
 	for _, i := range c.order {
@@ -144,18 +144,18 @@
 	return append(inTime, late...)
 }
 
-// mark tells which shards are scarce.
-func mark(shards []Shard, objective time.Duration) []bool {
+// findScarce reports for each shard whether it is scarce.
+func findScarce(shards []Shard, objective time.Duration) []bool {
 	scarce := make([]bool, len(shards))
-	limit := max(slowFactor*middle(shards), time.Duration(leastPart*float64(objective)))
+	limit := max(slowFactor*medianRun(shards), time.Duration(minSlowShare*float64(objective)))
 	for i, s := range shards {
 		scarce[i] = s.Run > limit
 	}
 	return scarce
 }
 
-// middle returns the median of the run times; what is unknown is good.
-func middle(shards []Shard) time.Duration {
+// medianRun returns the median run time, where unknown ones count as 0.
+func medianRun(shards []Shard) time.Duration {
 	if len(shards) == 0 {
 		return 0
 	}
@@ -167,8 +167,9 @@
 	return times[len(times)/2]
 }
 
-// hoped returns the number of shards that are in or will be without the scarce ones.
-func hoped(shards []Shard, scarce []bool) int {
+// countWithoutScarce returns the number of shards that are covered or, if not scarce, may
+// still be.
+func countWithoutScarce(shards []Shard, scarce []bool) int {
 	n := 0
 	for i, s := range shards {
 		if s.State == Covered || !scarce[i] && s.State != Closed {
--- a/scarcity/scarcity_test.go
+++ b/scarcity/scarcity_test.go
@@ -20,7 +20,7 @@
 
 func newRNG(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
 
-// shardsOf returns n shards of which the first are scarce.
+// shardsOf returns n shards of which the first scarce ones are slow.
 func shardsOf(n, scarce int) []scarcity.Shard {
 	shards := make([]scarcity.Shard, n)
 	for i := range shards {
@@ -42,17 +42,17 @@
 	return n
 }
 
-func TestNothingScarceNothingDecided(t *testing.T) {
+func TestNoVerdictsWithoutScarceShards(t *testing.T) {
 	c := scarcity.NewChoice(20, newRNG(1))
 	terms := scarcity.Terms{Needed: 18, Spare: 2, Objective: objective, Left: objective}
 	assert.Assert(t, c.Decide(shardsOf(20, 0), terms) == nil)
-	assert.Assert(t, c.Decide(make([]scarcity.Shard, 20), terms) == nil, "nothing is known")
-	quick := shardsOf(20, 0)
-	quick[3].Run = 70 * time.Millisecond
-	assert.Assert(t, c.Decide(quick, terms) == nil, "slower than the others, but in time whatever they take")
+	assert.Assert(t, c.Decide(make([]scarcity.Shard, 20), terms) == nil, "all run times are unknown")
+	slower := shardsOf(20, 0)
+	slower[3].Run = 70 * time.Millisecond
+	assert.Assert(t, c.Decide(slower, terms) == nil, "slower than the others, but below the least time of a scarce shard")
 	busy := shardsOf(20, 0)
 	busy[3].Expected = time.Second
-	assert.Assert(t, c.Decide(busy, terms) == nil, "busy, not slow")
+	assert.Assert(t, c.Decide(busy, terms) == nil, "a wait does not make a shard scarce")
 }
 
 func TestNoMoreAreAskedThanTheLeastShareNeeds(t *testing.T) {
@@ -61,15 +61,15 @@
 	shards := shardsOf(87, 6)
 	verdicts := c.Decide(shards, terms)
 	assert.Equal(t, count(verdicts, scarcity.LeaveOut), 4)
-	first := slices.IndexFunc(verdicts[:6], func(v scarcity.Verdict) bool { return v == scarcity.Ask })
-	shards[first].State = scarcity.Running
+	asked := slices.IndexFunc(verdicts[:6], func(v scarcity.Verdict) bool { return v == scarcity.Ask })
+	shards[asked].State = scarcity.Running
 	again := c.Decide(shards, terms)
-	assert.Equal(t, count(again, scarcity.LeaveOut), 4, "one is under way, one more is asked")
-	shards[first].State = scarcity.Resting
-	assert.Equal(t, count(c.Decide(shards, terms), scarcity.LeaveOut), 3, "one refused: another takes its place")
+	assert.Equal(t, count(again, scarcity.LeaveOut), 4, "one is in flight, one more is asked")
+	shards[asked].State = scarcity.Resting
+	assert.Equal(t, count(c.Decide(shards, terms), scarcity.LeaveOut), 3, "one refused, another is asked instead")
 }
 
-// A query whose first scarce shard had no server at all spent its time on that one.
+// A query must not spend its time on a scarce shard that cannot answer in time.
 func TestShardsThatCannotBeInTimeComeLast(t *testing.T) {
 	for seed := range uint64(50) {
 		c := scarcity.NewChoice(20, newRNG(seed))
@@ -85,11 +85,11 @@
 	c := scarcity.NewChoice(87, newRNG(1))
 	terms := scarcity.Terms{Needed: 74, Spare: 4, Objective: objective, Left: objective}
 	assert.Equal(t, count(c.Decide(shardsOf(87, 6), terms), scarcity.LeaveOut), 6)
-	assert.Equal(t, count(c.Decide(shardsOf(87, 3), terms), scarcity.AskIfIdle), 3, "nobody needs them")
+	assert.Equal(t, count(c.Decide(shardsOf(87, 3), terms), scarcity.AskIfIdle), 3, "no query needs them")
 }
 
-// Whatever the states are, no more scarce shards are under way than are needed, and those
-// that are not scarce are asked.
+// For any states, no more scarce shards are in flight than are needed, and shards that are
+// not scarce are asked.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 140).Draw(t, "shards")
@@ -99,14 +99,14 @@
 			Objective: objective, Left: time.Duration(rapid.IntRange(0, 300).Draw(t, "left")) * time.Millisecond,
 		}
 		shards := shardsOf(n, scarce)
-		hoped, before := 0, 0
+		withoutScarce, running := 0, 0
 		for i := range shards {
 			shards[i].State = scarcity.State(rapid.IntRange(int(scarcity.Waiting), int(scarcity.Closed)).Draw(t, "state"))
 			if shards[i].State == scarcity.Covered || i >= scarce && shards[i].State != scarcity.Closed {
-				hoped++
+				withoutScarce++
 			}
 			if i < scarce && shards[i].State == scarcity.Running {
-				before++
+				running++
 			}
 		}
 		verdicts := scarcity.NewChoice(n, newRNG(1)).Decide(shards, terms)
@@ -117,7 +117,7 @@
 				asked++
 			}
 		}
-		inTurn := terms.Needed-hoped <= 3
-		assert.Assert(t, !inTurn || asked == 0 || before+asked <= terms.Needed-hoped, "%d run, %d are asked, %d needed", before, asked, terms.Needed-hoped)
+		sequential := terms.Needed-withoutScarce <= 3
+		assert.Assert(t, !sequential || asked == 0 || running+asked <= terms.Needed-withoutScarce, "%d in flight and %d more asked, but only %d needed", running, asked, terms.Needed-withoutScarce)
 	})
 }
