--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a candidate for a duty.
+// Member is a candidate for the assignment of keys.
 type Member struct {
 	// ID is unique among the members.
 	ID string
@@ -15,23 +15,24 @@
 	Domain string
 }
 
-type scored struct {
+// scoredMember is a member with its score for one key.
+type scoredMember struct {
 	member Member
 	score  uint64
 }
 
-// compare orders by score, the highest first, and by name between equals.
-func compare(a, b scored) int {
+// compare orders by descending score, then by ID.
+func compare(a, b scoredMember) int {
 	if c := cmp.Compare(b.score, a.score); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.member.ID, b.member.ID)
 }
 
-// Rank returns the n best members for key. The best of each failure domain come
-// first, by their scores, then the second best of each, and so on. It returns
-// fewer than n members only where there are fewer. Its time grows with the
-// number of members, not faster.
+// Rank returns the n best members for key: first the best member of each failure domain,
+// ordered by score, then the second best of each, and so on. It returns fewer than n
+// members only if there are fewer. For a given n, the running time is linear in the number
+// of members.
 func Rank(key string, members []Member, n int) []Member {
 	n = min(n, len(members))
 	if n <= 0 {
@@ -39,11 +40,11 @@
 	}
 	byDomain := bestByDomain(key, members, n)
 	chosen := make([]Member, 0, n)
-	for place := 0; len(chosen) < n; place++ {
-		var round []scored
+	for position := 0; len(chosen) < n; position++ {
+		var round []scoredMember
 		for _, best := range byDomain {
-			if place < len(best) {
-				round = append(round, best[place])
+			if position < len(best) {
+				round = append(round, best[position])
 			}
 		}
 		slices.SortFunc(round, compare)
@@ -54,11 +55,11 @@
 	return chosen
 }
 
-// bestByDomain returns the n best members of each domain, best first.
-func bestByDomain(key string, members []Member, n int) map[string][]scored {
-	best := map[string][]scored{}
+// bestByDomain returns up to n members of each failure domain, the best first.
+func bestByDomain(key string, members []Member, n int) map[string][]scoredMember {
+	best := map[string][]scoredMember{}
 	for _, m := range members {
-		s := scored{member: m, score: score(key, m.ID)}
+		s := scoredMember{member: m, score: score(key, m.ID)}
 		list := best[m.Domain]
 		if len(list) == n {
 			if compare(s, list[n-1]) > 0 {
@@ -66,12 +67,13 @@
 			}
 			list = list[:n-1]
 		}
-		at, _ := slices.BinarySearchFunc(list, s, compare)
-		best[m.Domain] = slices.Insert(list, at, s)
+		i, _ := slices.BinarySearchFunc(list, s, compare)
+		best[m.Domain] = slices.Insert(list, i, s)
 	}
 	return best
 }
 
+// score returns the hash of a member ID and a key, separated by a zero byte.
 func score(key, id string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -18,23 +18,24 @@
 	return all
 }
 
-// A member that leaves moves only the duties that it held.
-func TestLeavingMovesOnlyItsOwn(t *testing.T) {
+// A member that leaves changes the assignment only of the keys that it held.
+func TestLeavingMovesOnlyItsKeys(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 50).Draw(rt, "n")
-		gone := rapid.IntRange(0, n-1).Draw(rt, "gone")
+		removed := rapid.IntRange(0, n-1).Draw(rt, "gone")
 		all := members(n)
-		rest := append(append([]rendezvous.Member{}, all[:gone]...), all[gone+1:]...)
+		remaining := append(append([]rendezvous.Member{}, all[:removed]...), all[removed+1:]...)
 		for key := range 50 {
 			before := rendezvous.Rank(fmt.Sprint(key), all, 1)[0]
-			after := rendezvous.Rank(fmt.Sprint(key), rest, 1)[0]
-			if before != all[gone] && before != after {
-				rt.Fatalf("duty %d moved from %v to %v when %v left", key, before, after, all[gone])
+			after := rendezvous.Rank(fmt.Sprint(key), remaining, 1)[0]
+			if before != all[removed] && before != after {
+				rt.Fatalf("key %d moved from %v to %v when %v left", key, before, after, all[removed])
 			}
 		}
 	})
 }
 
+// The first members of a rank belong to different failure domains.
 func TestSpreadsOverDomains(t *testing.T) {
 	for key := range 100 {
 		seen := map[string]bool{}
@@ -45,7 +46,7 @@
 	}
 }
 
-func TestRankOfFewOrNone(t *testing.T) {
+func TestRankWithFewerMembersThanRequested(t *testing.T) {
 	assert.Equal(t, len(rendezvous.Rank("k", nil, 3)), 0)
 	assert.Equal(t, len(rendezvous.Rank("k", members(2), 3)), 2)
 }
