--- a/drain/doc.go
+++ b/drain/doc.go
@@ -1,7 +1,7 @@
-// Package drain remembers which backend servers are leaving, from the reply of
-// the server itself, the platform's host list, or another entry host.
+// Package drain records which backend servers are leaving, as reported by the servers
+// themselves, the platform's host list or other entry hosts.
 //
-// Invariants: a fact binds one incarnation of a server and never one that
-// started later; a fact that nobody confirms ends by itself, so a false report
-// does not take a server out for good.
+// Invariants: a fact applies to one incarnation of a server and never to a later one; a
+// fact that is not confirmed expires, so that a false report does not remove a server
+// permanently.
 package drain
--- a/drain/registry.go
+++ b/drain/registry.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// FactTTL is for how long a fact counts after it was last confirmed.
+	// FactTTL is the time after its last confirmation at which a fact expires.
 	FactTTL = 30 * time.Second
-	// refreshAfter is by how much a fact must last longer for its
-	// confirmation to be passed on.
-	refreshAfter = FactTTL / 3
-	// announceFor is for how long a new fact rides on outgoing heartbeats.
-	announceFor = 5 * time.Second
+	// minExtension is the least extension of a fact's expiry at which a confirmation is
+	// announced again.
+	minExtension = FactTTL / 3
+	// announceTime is how long a new or extended fact is sent with heartbeats.
+	announceTime = 5 * time.Second
 )
 
-// Fact says that one incarnation of a server is leaving.
+// Fact states that one incarnation of a server is leaving.
 type Fact struct {
 	Address string
-	// Incarnation of the server; 0 stands for the one now running.
+	// Incarnation is the incarnation of the server; 0 means the one currently running.
 	Incarnation uint64
-	// TTL is for how long the fact still counts.
+	// TTL is the remaining time to live.
 	TTL time.Duration
 }
 
+// record is the stored form of a fact.
 type record struct {
 	incarnation uint64
-	until       time.Time
-	announce    time.Time
+	// expires is when the fact expires, announceUntil when it is no longer announced.
+	expires       time.Time
+	announceUntil time.Time
 }
 
 // Registry holds the facts known to one host. It is not safe for concurrent use.
@@ -41,27 +43,30 @@
 	return &Registry{records: map[string]record{}}
 }
 
-// Learn takes a fact in and reports whether it was new.
+// Learn records a fact and reports whether it was new. A fact about an earlier incarnation
+// than the known one is ignored, as is a confirmation that extends the expiry by less than
+// minExtension.
 func (r *Registry) Learn(fact Fact, now time.Time) bool {
 	known, ok := r.records[fact.Address]
-	until := now.Add(min(fact.TTL, FactTTL))
+	expires := now.Add(min(fact.TTL, FactTTL))
 	if ok && fact.Incarnation < known.incarnation {
 		return false
 	}
-	fresh := !ok || fact.Incarnation > known.incarnation || !now.Before(known.until)
-	if !fresh && until.Sub(known.until) < refreshAfter {
+	isNew := !ok || fact.Incarnation > known.incarnation || !now.Before(known.expires)
+	if !isNew && expires.Sub(known.expires) < minExtension {
 		return false
 	}
 	r.records[fact.Address] = record{
-		incarnation: fact.Incarnation,
-		until:       until,
-		announce:    now.Add(announceFor),
+		incarnation:   fact.Incarnation,
+		expires:       expires,
+		announceUntil: now.Add(announceTime),
 	}
-	return fresh
+	return isNew
 }
 
-// Started notes that a server was seen at an incarnation without leaving. A
-// fact about an earlier incarnation no longer counts.
+// Started records that an incarnation of a server was seen running and not leaving. It
+// removes a fact about an earlier incarnation and reports whether there was one. A fact
+// without an incarnation stays until it expires.
 func (r *Registry) Started(address string, incarnation uint64) bool {
 	known, ok := r.records[address]
 	if !ok || known.incarnation == 0 || incarnation <= known.incarnation {
@@ -71,11 +76,11 @@
 	return true
 }
 
-// Expire drops the facts that no longer count and reports whether any was.
+// Expire removes expired facts and reports whether there were any.
 func (r *Registry) Expire(now time.Time) bool {
 	expired := false
 	for address, known := range r.records {
-		if !now.Before(known.until) {
+		if !now.Before(known.expires) {
 			delete(r.records, address)
 			expired = true
 		}
@@ -83,32 +88,31 @@
 	return expired
 }
 
-// Leaving returns the incarnation that is leaving at an address, and false
-// where none is.
+// Leaving returns the incarnation that is leaving at an address, or false if none is.
 func (r *Registry) Leaving(address string, now time.Time) (uint64, bool) {
 	known, ok := r.records[address]
-	if !ok || !now.Before(known.until) {
+	if !ok || !now.Before(known.expires) {
 		return 0, false
 	}
 	return known.incarnation, true
 }
 
-// Announce returns the facts that other hosts should still be told, in the
-// order of their addresses.
+// Announce returns the facts to send to other hosts, ordered by address.
 func (r *Registry) Announce(now time.Time) []Fact {
-	return r.facts(func(k record) bool { return now.Before(k.announce) }, now)
+	return r.facts(func(k record) bool { return now.Before(k.announceUntil) }, now)
 }
 
-// All returns every fact that counts, in the order of their addresses.
+// All returns every fact that has not expired, ordered by address.
 func (r *Registry) All(now time.Time) []Fact {
 	return r.facts(func(record) bool { return true }, now)
 }
 
+// facts returns the unexpired facts that keep accepts, ordered by address.
 func (r *Registry) facts(keep func(record) bool, now time.Time) []Fact {
 	var facts []Fact
 	for address, known := range r.records {
-		if keep(known) && now.Before(known.until) {
-			facts = append(facts, Fact{Address: address, Incarnation: known.incarnation, TTL: known.until.Sub(now)})
+		if keep(known) && now.Before(known.expires) {
+			facts = append(facts, Fact{Address: address, Incarnation: known.incarnation, TTL: known.expires.Sub(now)})
 		}
 	}
 	slices.SortFunc(facts, func(a, b Fact) int { return strings.Compare(a.Address, b.Address) })
--- a/drain/registry_test.go
+++ b/drain/registry_test.go
@@ -12,15 +12,16 @@
 
 var start = time.Unix(1000, 0)
 
-func TestFactEndsUnlessConfirmed(t *testing.T) {
+// A fact expires FactTTL after its last confirmation.
+func TestFactExpiresUnlessConfirmed(t *testing.T) {
 	r := drain.NewRegistry()
 	fact := drain.Fact{Address: "a", Incarnation: 5, TTL: drain.FactTTL}
 	assert.Assert(t, r.Learn(fact, start))
-	assert.Assert(t, !r.Learn(fact, start.Add(time.Second)), "no news")
+	assert.Assert(t, !r.Learn(fact, start.Add(time.Second)), "a repeated fact is not new")
 	assert.Equal(t, len(r.Announce(start)), 1)
-	assert.Equal(t, len(r.Announce(start.Add(6*time.Second))), 0, "told long enough")
+	assert.Equal(t, len(r.Announce(start.Add(6*time.Second))), 0, "the announcement time is over")
 	r.Learn(fact, start.Add(20*time.Second))
-	assert.Equal(t, len(r.Announce(start.Add(21*time.Second))), 1, "a confirmation is passed on")
+	assert.Equal(t, len(r.Announce(start.Add(21*time.Second))), 1, "a confirmation is announced")
 	_, leaving := r.Leaving("a", start.Add(40*time.Second))
 	assert.Assert(t, leaving)
 	_, leaving = r.Leaving("a", start.Add(51*time.Second))
@@ -28,6 +29,7 @@
 	assert.Assert(t, r.Expire(start.Add(51*time.Second)))
 }
 
+// A server that has restarted is not leaving.
 func TestNewIncarnationIsNotLeaving(t *testing.T) {
 	r := drain.NewRegistry()
 	r.Learn(drain.Fact{Address: "a", Incarnation: 5, TTL: drain.FactTTL}, start)
@@ -37,8 +39,8 @@
 	assert.Assert(t, !leaving)
 }
 
-// A fact that goes round between hosts does not keep itself alive.
-func TestFactGoingRoundEnds(t *testing.T) {
+// Two hosts that announce a fact to each other do not keep extending its expiry.
+func TestFactExchangedBetweenHostsExpires(t *testing.T) {
 	a, b := drain.NewRegistry(), drain.NewRegistry()
 	a.Learn(drain.Fact{Address: "x", Incarnation: 1, TTL: drain.FactTTL}, start)
 	now := start
