--- a/internal/gateway/absent.go
+++ b/internal/gateway/absent.go
@@ -9,107 +9,107 @@
 )
 
 const (
-	// shortestComeBack and longestComeBack bound when a caller is asked to come back whose
-	// servers are gone: a process takes about as long to start at the least, and a caller who
-	// waits longer had better ask elsewhere.
-	shortestComeBack = 500 * time.Millisecond
-	longestComeBack  = 2 * time.Second
+	// minAbsentRetryAfter and maxAbsentRetryAfter limit when a caller whose servers are gone is
+	// told to retry: starting a process takes at least the former, and after the latter it should
+	// try another host.
+	minAbsentRetryAfter = 500 * time.Millisecond
+	maxAbsentRetryAfter = 2 * time.Second
 )
 
-// absentError says that nothing listens at the addresses of all servers of a shard.
+// absentError reports that nothing listens at the addresses of all servers of a shard.
 type absentError struct {
-	// wait is when one of them is asked again.
+	// wait is the time until one of the servers is tried again.
 	wait time.Duration
 }
 
-// Error names the wait.
+// Error implements error.
 func (e *absentError) Error() string {
-	return fmt.Sprintf("nothing listens at the address of any server; one is asked again in %v: start the servers", e.wait.Round(time.Millisecond))
+	return fmt.Sprintf("nothing listens at the address of any server: start the servers; the next attempt at one is in %v", e.wait.Round(time.Millisecond))
 }
 
-// doubt is what a query does where it depends on shards at whose servers nothing listened when they
-// were last asked: it asks these first. If they are still gone it is refused, and no other server
-// has run it for nothing; until its answer is there, other queries are refused at once. The zero
-// value has no doubts.
-type doubt struct {
-	// open are the shards in doubt that are being asked.
-	open map[int]bool
-	// hoped is the number of shards that may answer, those in doubt included; needed that of an
-	// answer.
-	hoped, needed int
+// absenceCheck probes absent shards before a query is sent anywhere else. If a query depends on
+// shards at whose servers nothing listened when they were last asked, these shards are asked first.
+// If they are still gone the query is refused without any other server having run it; meanwhile
+// other queries are refused at once. The zero value defers nothing.
+type absenceCheck struct {
+	// pending holds the absent shards that are being asked.
+	pending map[int]bool
+	// possible is the number of shards that may answer, including the pending ones; needed is the
+	// number of shards that an answer needs.
+	possible, needed int
 }
 
-// holds reports whether a shard has to wait for those in doubt.
-func (d *doubt) holds(shard int) bool { return len(d.open) > 0 && !d.open[shard] }
+// defers reports whether a shard must wait for the pending ones.
+func (c *absenceCheck) defers(shard int) bool { return len(c.pending) > 0 && !c.pending[shard] }
 
-// hopeless reports whether too few shards are left.
-func (d *doubt) hopeless() bool { return d.hoped < d.needed }
+// insufficient reports whether too few shards can answer.
+func (c *absenceCheck) insufficient() bool { return c.possible < c.needed }
 
-// settleDoubt takes in what became of a call at a shard in doubt. The others follow once enough
-// shards have servers.
-func (q *query) settleDoubt(r result) {
-	d := &q.doubt
-	if !d.open[r.shard] {
+// resolveAbsence records the result of a call to a pending shard. The other shards follow once
+// enough shards have servers.
+func (q *query) resolveAbsence(r result) {
+	check := &q.absence
+	if !check.pending[r.shard] {
 		return
 	}
-	delete(d.open, r.shard)
+	delete(check.pending, r.shard)
 	if r.absent {
-		d.hoped--
+		check.possible--
 	}
-	if d.hoped-len(d.open) >= d.needed {
-		d.open = nil
+	if check.possible-len(check.pending) >= check.needed {
+		check.pending = nil
 	}
-	if len(d.open) == 0 && !d.hopeless() {
-		q.releaseHeld(time.Now())
+	if len(check.pending) == 0 && !check.insufficient() {
+		q.resumeHeldShards(time.Now())
 	}
 }
 
-// lacksServers reports whether nothing listens at the servers of so many shards that the query
-// cannot be answered now. It notes which are to be asked first, where that may have changed.
+// lacksServers reports whether so many shards have no listening server that the query cannot be
+// answered now. Otherwise it sets up the check of shards whose servers may be back.
 func (q *query) lacksServers(now time.Time) bool {
-	present, open := 0, map[int]bool(nil)
+	present, pending := 0, map[int]bool(nil)
 	for n, g := range q.groups {
-		switch found, _ := g.presence(q.entry.Homes, now); found {
+		switch presence, _ := g.presence(q.entry.Homes, now); presence {
 		case replica.Present:
 			present++
 		case replica.Doubtful:
-			if open == nil {
-				open = map[int]bool{} // Not for each of the many queries that lack nothing.
+			if pending == nil {
+				pending = map[int]bool{} // Allocated only if needed, as few queries lack servers.
 			}
-			open[n] = true
+			pending[n] = true
 		}
 	}
 	needed := q.state.Needed()
 	if present >= needed {
 		return false
 	}
-	q.doubt = doubt{open: open, hoped: present + len(open), needed: needed}
-	return q.doubt.hopeless()
+	q.absence = absenceCheck{pending: pending, possible: present + len(pending), needed: needed}
+	return q.absence.insufficient()
 }
 
-// absentAnswer refuses a query that lacks servers, and tells when to come back: after as long as
-// they have been gone, as nothing else is known of when they return.
+// absentAnswer refuses a query that lacks servers. The caller is told to retry after as long as
+// they have been gone, which is the best available estimate.
 func (q *query) absentAnswer(now time.Time) Answer {
-	lost, latest, name := 0, time.Time{}, ""
+	absentShards, latestLoss, name := 0, time.Time{}, ""
 	for _, g := range q.groups {
-		found, since := g.presence(q.entry.Homes, now)
-		if found == replica.Present {
+		presence, since := g.presence(q.entry.Homes, now)
+		if presence == replica.Present {
 			continue
 		}
-		lost++
-		if since.After(latest) {
-			latest, name = since, g.service
+		absentShards++
+		if since.After(latestLoss) {
+			latestLoss, name = since, g.service
 		}
 	}
-	reason := fmt.Sprintf("nothing listens at the servers of %d of %d shards, of %s since %v: start them",
-		lost, len(q.groups), name, now.Sub(latest).Round(time.Millisecond))
-	return notRun(CodeAbsent, reason, min(max(now.Sub(latest), shortestComeBack), longestComeBack))
+	reason := fmt.Sprintf("nothing listens at the servers of %d of %d shards, at those of %s for %v: start them",
+		absentShards, len(q.groups), name, now.Sub(latestLoss).Round(time.Millisecond))
+	return notRun(CodeAbsent, reason, min(max(now.Sub(latestLoss), minAbsentRetryAfter), maxAbsentRetryAfter))
 }
 
-// presence returns what is known of the servers that may see a request with homes, and since when
-// they are gone.
+// presence returns whether the servers that may see a request with the given homes are present, and
+// if not, since when.
 func (g *group) presence(homes route.Homes, now time.Time) (replica.Presence, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.set.Presence(g.outside(homes), now)
+	return g.set.Presence(g.outsideHomes(homes), now)
 }
--- a/internal/gateway/absent_test.go
+++ b/internal/gateway/absent_test.go
@@ -53,7 +53,7 @@
 		for i, a := range answers {
 			assert.Equal(t, a.Outcome, NotRun, "%+v", a)
 			assert.Equal(t, a.Code, CodeAbsent, "%+v", a)
-			assert.Assert(t, a.RetryAfter >= shortestComeBack, "%v", a.RetryAfter)
+			assert.Assert(t, a.RetryAfter >= minAbsentRetryAfter, "%v", a.RetryAfter)
 			assert.Assert(t, took[i] <= 25*time.Millisecond, "%v", took[i])
 		}
 		tries := w.leafs.arrivals("shard") - before
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -6,29 +6,29 @@
 	"github.com/mallowgap/mallowgap/fanout"
 )
 
-// Outcome is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome int
 
 const (
-	// Forwarded: a server's reply is passed on as it is.
+	// Forwarded: a server's reply is returned unchanged.
 	Forwarded Outcome = iota
-	// Gathered: an answer was gathered from the shards.
+	// Gathered: the answer was gathered from the shards.
 	Gathered
-	// NoRoute: no route of the configuration in force serves the request.
+	// NoRoute: no route of the configuration in force matches the request.
 	NoRoute
-	// Malformed: the request lacks what every request must have.
+	// Malformed: the request lacks a mandatory field.
 	Malformed
-	// TooLarge: the body is larger than the configuration allows.
+	// TooLarge: the body exceeds the configured limit.
 	TooLarge
-	// HeaderTooLarge: the header is larger than the configuration allows.
+	// HeaderTooLarge: the header exceeds the configured limit.
 	HeaderTooLarge
-	// NotRun: the request has not run and never will.
+	// NotRun: the request was not run and will not be.
 	NotRun
 	// Failed: servers failed; the request may have run.
 	Failed
-	// TimedOut: the time was up; the request may have run.
+	// TimedOut: the time limit expired; the request may have run.
 	TimedOut
-	// CallerLeft: nobody waits for the answer.
+	// CallerLeft: the caller has disconnected.
 	CallerLeft
 )
 
@@ -37,29 +37,27 @@
 	return [...]string{"forwarded", "gathered", "no_route", "malformed", "too_large", "header_too_large", "not_run", "failed", "timed_out", "caller_left"}[o]
 }
 
-// Code is the cause of an answer other than a whole success, for metrics and
-// alerts; the reason says more.
+// Code is the cause of an answer that is not a complete success, for metrics and alerts.
 type Code string
 
-// The causes.
+// Causes of incomplete and failed answers.
 const (
 	CodeNone Code = ""
 	// CodeNoConfig: no configuration is known yet.
 	CodeNoConfig Code = "no_configuration"
 	// CodeNoID: the request has no identifier.
 	CodeNoID Code = "no_identifier"
-	// CodeBodySize: the body is larger than allowed.
+	// CodeBodySize: the body exceeds the limit.
 	CodeBodySize Code = "body_size"
-	// CodeHeaderSize: the header is larger than allowed.
+	// CodeHeaderSize: the header exceeds the limit.
 	CodeHeaderSize Code = "header_size"
-	// CodeNoRoute: no route serves the request.
+	// CodeNoRoute: no route matches the request.
 	CodeNoRoute Code = "no_route"
-	// CodeNoTime: the caller's time was over before an attempt was made.
+	// CodeNoTime: the caller's timeout expired before an attempt was made.
 	CodeNoTime Code = "no_time"
-	// CodeNoServer: no server of the service is in service.
+	// CodeNoServer: the service has no server in service.
 	CodeNoServer Code = "no_server"
-	// CodeNoHome: no server of the service is in service in a region that may see the
-	// request.
+	// CodeNoHome: the service has no server in service in the homes of the route.
 	CodeNoHome Code = "no_home"
 	// CodeEvacuated: the failure domains of all servers of a service are evacuated.
 	CodeEvacuated Code = "evacuated"
@@ -71,33 +69,34 @@
 	CodeBusy Code = "busy"
 	// CodeRefused: servers refused the request.
 	CodeRefused Code = "refused"
-	// CodeUnreachable: servers could not be connected to.
+	// CodeUnreachable: connections to servers failed.
 	CodeUnreachable Code = "unreachable"
-	// CodeAbsent: nothing listens at the addresses of all servers of too many shards.
+	// CodeAbsent: too many shards have no server that listens at its address.
 	CodeAbsent Code = "absent"
-	// CodeServerFailed: servers failed or broke off.
+	// CodeServerFailed: servers failed or connections were lost.
 	CodeServerFailed Code = "server_failed"
-	// CodeSlow: no server answered in time.
+	// CodeSlow: servers did not answer in time.
 	CodeSlow Code = "slow"
-	// CodeBarred: servers end under the request.
+	// CodeBarred: the request is barred because servers exit when they run it.
 	CodeBarred Code = "barred"
-	// CodeSuspect: servers ended under the request, and the trial of another query was awaited.
+	// CodeSuspect: servers exited when they ran the request, and the trial by another query was not
+	// decided in time.
 	CodeSuspect Code = "suspect"
 	// CodeCallerLeft: the caller closed its connection.
 	CodeCallerLeft Code = "caller_left"
 )
 
-// Answer is what a caller gets.
+// Answer is the answer to a caller.
 type Answer struct {
 	Outcome Outcome
 	Code    Code
-	// Reason says why the request was not served, or not wholly.
+	// Reason says why the request was not served, or not completely.
 	Reason string
-	// RetryAfter is when to come back, where the request has not run.
+	// RetryAfter is when to retry a request that was not run.
 	RetryAfter time.Duration
-	// Reply is set where the outcome is Forwarded.
+	// Reply is set if the outcome is Forwarded.
 	Reply *Reply
-	// Gathered is set where the outcome is Gathered.
+	// Gathered is set if the outcome is Gathered.
 	Gathered fanout.Answer
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -12,41 +12,42 @@
 	"github.com/mallowgap/mallowgap/scarcity"
 )
 
-// attempt is one call about to be made.
+// attempt is a call about to be made.
 type attempt struct {
 	shard int
 	kind  attemptKind
 	call  *call
-	// trial tells that the server is sent the request alone, after others had ended.
-	trial bool
+	// onTrial reports that the request is sent to this server alone, because other servers exited
+	// while running it.
+	onTrial bool
 }
 
 // launch makes the attempts that are due.
 func (q *query) launch(ctx context.Context, now time.Time) {
-	if q.trial.OnTrial() && !q.absolved() {
+	if q.trial.OnTrial() && !q.clearedElsewhere() {
 		q.launchTrial(ctx, now)
 		return
 	}
 	var attempts []attempt
-	verdicts := q.decide(now)
+	verdicts := q.scarcityVerdicts(now)
 	for _, need := range q.state.Needs(now) {
-		if need.Hedge && q.holdsCopies(now) {
-			q.hold(need.Shard, q.copiesFrom())
+		if need.Hedge && q.holdsHedges(now) {
+			q.holdShard(need.Shard, q.hedgesFrom())
 			continue
 		}
-		if q.doubt.holds(need.Shard) && now.Before(q.copiesFrom()) {
-			q.hold(need.Shard, q.copiesFrom())
+		if q.absence.defers(need.Shard) && now.Before(q.hedgesFrom()) {
+			q.holdShard(need.Shard, q.hedgesFrom())
 			continue
 		}
 		verdict := scarcity.Ask
-		if verdicts != nil && !need.Hedge && !q.doubt.open[need.Shard] {
+		if verdicts != nil && !need.Hedge && !q.absence.pending[need.Shard] {
 			verdict = verdicts[need.Shard]
 		}
 		if verdict == scarcity.LeaveOut {
 			q.leaveOut(need.Shard, now)
 			continue
 		}
-		a, ok := q.prepare(need, q.leftFor(verdict, now), now)
+		a, ok := q.prepareAttempt(need, q.timeLeftFor(verdict, now), now)
 		if !ok {
 			continue
 		}
@@ -55,26 +56,28 @@
 	q.sendAttempts(ctx, attempts, now)
 }
 
-// holdsCopies reports whether copies of late calls are held back, as no shard of the query has
-// answered yet: then none is late beside others, and what keeps them all may be the query itself.
-// It protects the second server of each shard from a query under which the first ones are about
-// to end. Copies go out in the end, as all calls may be silent for another reason.
-func (q *query) holdsCopies(now time.Time) bool {
-	return q.entry.Query != nil && !q.trial.WasServed() && now.Before(q.copiesFrom())
+// holdsHedges reports whether hedges are held back because no shard of the query has answered yet:
+// then no call is late compared with others, and the query itself may be the cause. This protects
+// the remaining servers of each shard from a request under which servers exit. Hedges are sent
+// after hedgesFrom in any case, because all calls may be silent for another reason.
+func (q *query) holdsHedges(now time.Time) bool {
+	return q.entry.Query != nil && !q.trial.WasServed() && now.Before(q.hedgesFrom())
 }
 
-// copiesFrom is from when on copies are sent of a query that no shard has answered.
-func (q *query) copiesFrom() time.Time {
-	return q.request.Arrived.Add(q.longestHedgeDelay())
+// hedgesFrom returns the time from which hedges are sent even if no shard has answered.
+func (q *query) hedgesFrom() time.Time {
+	return q.request.Arrived.Add(q.maxHedgeDelay())
 }
 
-// hold puts a shard off until a server has served the query, or a time.
-func (q *query) hold(n int, until time.Time) {
-	q.trial.held = append(q.trial.held, n)
+// holdShard defers a shard until a server has served the query, but no longer than until the given
+// time.
+func (q *query) holdShard(n int, until time.Time) {
+	q.trial.heldShards = append(q.trial.heldShards, n)
 	q.state.Later(n, until)
 }
 
-// sendAttempts makes attempts: directly, or by domain through a host there, if one can be had.
+// sendAttempts sends attempts directly, or grouped by failure domain through a relay there if one
+// is available.
 func (q *query) sendAttempts(ctx context.Context, attempts []attempt, now time.Time) {
 	var direct []attempt
 	relayed := map[string][]attempt{}
@@ -87,7 +90,7 @@
 		}
 	}
 	for domain, attempts := range relayed {
-		relay, ok := q.gateway.peers.Choose(q.relays(domain, attempts[0].call), q.gateway.name)
+		relay, ok := q.gateway.peerHealth.Choose(q.relayCandidates(domain, attempts[0].call), q.gateway.name)
 		if !ok {
 			direct = append(direct, attempts...)
 			continue
@@ -95,35 +98,35 @@
 		q.sendRelayed(ctx, relay, attempts, now)
 	}
 	for _, a := range direct {
-		if a.call.cold {
-			q.notAllowed(a, now)
+		if a.call.needsColdCaller {
+			q.deferColdAttempt(a, now)
 			continue
 		}
 		q.sendDirect(ctx, a, now)
 	}
 }
 
-// notAllowed puts an attempt off at a cold server that this host does not call itself.
-func (q *query) notAllowed(a attempt, now time.Time) {
-	a.call.drop()
-	q.failure, q.code = "the server is cold and called by few hosts, none of which can be reached", CodeBusy
-	q.state.Later(a.shard, now.Add(deniedRetry))
+// deferColdAttempt gives up an attempt at a cold server that this host may not call itself.
+func (q *query) deferColdAttempt(a attempt, now time.Time) {
+	a.call.abandon()
+	q.failure, q.code = "the server is cold and none of the hosts that may call it can be reached", CodeBusy
+	q.state.Later(a.shard, now.Add(deniedRetryDelay))
 }
 
-// decide returns what becomes of each shard, or nil where none is scarce.
-func (q *query) decide(now time.Time) []scarcity.Verdict {
+// scarcityVerdicts returns a verdict for each shard, or nil if no shard is scarce.
+func (q *query) scarcityVerdicts(now time.Time) []scarcity.Verdict {
 	if q.choice == nil {
 		return nil
 	}
 	shards := make([]scarcity.Shard, len(q.groups))
 	for n, g := range q.groups {
 		expected, run := g.soonest(q.entry.Homes, now)
-		shards[n] = scarcity.Shard{State: q.stateOf(n, now), Run: run, Expected: expected}
+		shards[n] = scarcity.Shard{State: q.shardState(n, now), Run: run, Expected: expected}
 	}
-	return q.choice.Decide(shards, scarcity.Terms{Needed: q.state.Needed(), Spare: q.entry.Spare, Objective: q.objective, Left: q.left(now)})
+	return q.choice.Decide(shards, scarcity.Terms{Needed: q.state.Needed(), Spare: q.entry.Spare, Objective: q.objective, Left: q.timeLeft(now)})
 }
 
-func (q *query) stateOf(n int, now time.Time) scarcity.State {
+func (q *query) shardState(n int, now time.Time) scarcity.State {
 	running, waiting, closed := q.state.Attempts(n, now)
 	switch {
 	case q.state.Covered(n):
@@ -138,18 +141,17 @@
 	return scarcity.Resting
 }
 
-// leaveOut puts a scarce shard off until another one refuses, or for a while.
+// leaveOut defers a scarce shard until another one is refused, or for leftOutRecheck.
 func (q *query) leaveOut(n int, now time.Time) {
 	if !slices.Contains(q.leftOut, n) {
 		q.leftOut = append(q.leftOut, n)
 	}
-	q.putOff[n] = "left to others, as its servers take long"
-	q.state.Later(n, now.Add(leftOutFor))
+	q.skipReasons[n] = "left out, as its servers are slow and enough other shards can answer"
+	q.state.Later(n, now.Add(leftOutRecheck))
 }
 
-// useRelay reports whether a server is called through a relay: where this host is none of
-// those that call it, and for a query also where it stands in another domain, so that its
-// parts are merged there.
+// useRelay reports whether a server is called through a relay: because this host is not among its
+// callers, or because the parts of a query are merged in the server's failure domain.
 func (q *query) useRelay(c *call) bool {
 	if q.entry.Query != nil && c.backend.Domain != q.gateway.self.GetDomain() {
 		return true
@@ -158,9 +160,9 @@
 	return !c.share.Calls(name, domain) && q.view.Knows(name, domain)
 }
 
-// relays returns the hosts that calls to servers of a domain may go through: those that may
-// see the request.
-func (q *query) relays(domain string, c *call) []control.Host {
+// relayCandidates returns the hosts that may relay a call to a server of a failure domain: those in
+// the homes of the route.
+func (q *query) relayCandidates(domain string, c *call) []control.Host {
 	if q.entry.Query != nil {
 		hosts := q.view.Relays(domain, int(q.gateway.settings.GetRelay().GetHostsPerDomain()))
 		if len(q.entry.Homes) == 0 {
@@ -173,8 +175,8 @@
 	})
 }
 
-// prepare takes a server and, for an extra attempt, a token of the budget.
-func (q *query) prepare(need fanout.Need, left time.Duration, now time.Time) (attempt, bool) {
+// prepareAttempt takes a slot on a server and, for a retry or hedge, a token of the retry budget.
+func (q *query) prepareAttempt(need fanout.Need, timeLeft time.Duration, now time.Time) (attempt, bool) {
 	kind := firstAttempt
 	if need.Hedge {
 		kind = hedgeAttempt
@@ -182,63 +184,63 @@
 		kind = retryAttempt
 	}
 	g := q.groups[need.Shard]
-	c, err := g.pick(now, pickOptions{tried: q.tried[need.Shard], hedge: need.Hedge, region: q.farRegion, probeEvery: q.probeEvery(), homes: q.entry.Homes, due: replica.Due{Objective: q.objective, Left: left}})
+	c, err := g.pick(now, pickOptions{tried: q.tried[need.Shard], hedge: need.Hedge, region: q.farRegion, probeEvery: q.probeInterval(), homes: q.entry.Homes, due: replica.Due{Objective: q.objective, Left: timeLeft}})
 	if err != nil {
-		q.postpone(need, err, now)
+		q.deferShard(need, err, now)
 		return attempt{}, false
 	}
 	if kind != firstAttempt && !q.takeBudget(g, kind, now) {
-		c.drop()
+		c.abandon()
 		countDenied(kind)
 		q.trace.denied++
-		q.state.Later(need.Shard, now.Add(deniedRetry))
+		q.state.Later(need.Shard, now.Add(deniedRetryDelay))
 		return attempt{}, false
 	}
-	if !q.counted[need.Shard] {
-		q.counted[need.Shard] = true
-		g.first(now)
+	if !q.firstCounted[need.Shard] {
+		q.firstCounted[need.Shard] = true
+		g.countFirst(now)
 	}
 	if !slices.Contains(q.tried[need.Shard], c.backend.ID) {
 		q.tried[need.Shard] = append(q.tried[need.Shard], c.backend.ID)
 	}
-	q.count(kind)
+	q.traceAttempt(kind)
 	return attempt{shard: need.Shard, kind: kind, call: c}, true
 }
 
-// left is the time within which a part has to come for the query to be in time. A late
-// query gives way to those that are not, until it has been late for so long that it takes
-// part again, so that it is not put off until its end.
-func (q *query) left(now time.Time) time.Duration {
+// timeLeft returns the time within which a part must arrive for the query to be on time. A late
+// query yields (0) to queries that are on time, until its allowance reaches the objective; this
+// keeps it from being deferred until its end.
+func (q *query) timeLeft(now time.Time) time.Duration {
 	if now.Before(q.due) {
 		return q.due.Sub(now)
 	}
-	patience := time.Duration(lateGrowth * float64(now.Sub(q.due)))
-	if patience < q.objective {
+	allowance := time.Duration(lateAllowance * float64(now.Sub(q.due)))
+	if allowance < q.objective {
 		return 0
 	}
-	return patience
+	return allowance
 }
 
-// leftFor is left for a shard with a verdict: a call that is not needed gives way to all.
-func (q *query) leftFor(verdict scarcity.Verdict, now time.Time) time.Duration {
+// timeLeftFor returns timeLeft for a shard with a verdict. A call that is not needed yields to all
+// others.
+func (q *query) timeLeftFor(verdict scarcity.Verdict, now time.Time) time.Duration {
 	if verdict == scarcity.AskIfIdle {
 		return 0
 	}
-	return q.left(now)
+	return q.timeLeft(now)
 }
 
-// probeEvery is how often a server that is slow or failed gets a request like
-// this one from here: rarely where the caller pays for it with its time, and
-// the more rarely the more hosts probe it.
-func (q *query) probeEvery() time.Duration {
-	every := singleProbeEvery
+// probeInterval returns how often this host probes a slow or failed server with a request of this
+// kind: less often if the caller pays for the probe with its time, and less often in larger fleets.
+func (q *query) probeInterval() time.Duration {
+	interval := singleProbeInterval
 	if q.entry.Query != nil {
-		every = replica.ProbeEvery
+		interval = replica.ProbeEvery
 	}
-	return every * time.Duration(max(1, q.view.Count/probingHosts))
+	return interval * time.Duration(max(1, q.view.Count/fullRateProbers))
 }
 
-func (q *query) count(kind attemptKind) {
+func (q *query) traceAttempt(kind attemptKind) {
 	switch kind {
 	case firstAttempt:
 		q.trace.first++
@@ -249,10 +251,10 @@
 	}
 }
 
-// postpone puts off a shard for which no server can be had.
-func (q *query) postpone(need fanout.Need, err error, now time.Time) {
+// deferShard defers a shard for which no slot was available.
+func (q *query) deferShard(need fanout.Need, err error, now time.Time) {
 	q.failure = err.Error()
-	q.putOff[need.Shard] = q.failure
+	q.skipReasons[need.Shard] = q.failure
 	q.code = CodeNoServer
 	if errors.Is(err, errNoSlot) {
 		q.code = CodeBusy
@@ -263,24 +265,24 @@
 	switch {
 	case errors.As(err, &absent):
 		q.code = CodeAbsent
-		q.state.Later(need.Shard, now.Add(max(absent.wait, slotRetry)))
+		q.state.Later(need.Shard, now.Add(max(absent.wait, slotRetryDelay)))
 	case errors.As(err, &cold):
 		q.code = CodeBusy
 		q.state.Later(need.Shard, now.Add(cold.wait))
 	case errors.As(err, &late):
 		q.code = CodeBusy
-		q.lookAgain(need.Shard, late.wait, now)
+		q.scheduleRecheck(need.Shard, late.wait, now)
 	case need.Hedge:
-		q.state.Later(need.Shard, now.Add(deniedRetry))
+		q.state.Later(need.Shard, now.Add(deniedRetryDelay))
 	case errors.Is(err, errNoSlot):
-		q.state.Later(need.Shard, now.Add(slotRetry))
+		q.state.Later(need.Shard, now.Add(slotRetryDelay))
 	default:
-		q.state.Later(need.Shard, now.Add(deniedRetry))
+		q.state.Later(need.Shard, now.Add(deniedRetryDelay))
 	}
 }
 
-// sent notes an attempt that is being made.
-func (q *query) sent(a attempt, now time.Time, relayed bool) {
+// noteSent records an attempt that is about to be sent.
+func (q *query) noteSent(a attempt, now time.Time, relayed bool) {
 	hedgeAt := time.Time{}
 	if q.entry.Idempotent {
 		hedgeAt = now.Add(q.hedgeDelay(relayed))
@@ -292,10 +294,11 @@
 }
 
 func (q *query) hedgeDelay(relayed bool) time.Duration {
-	return q.gateway.latency.delay(latencyKey{q.entry.Name, relayed}, q.longestHedgeDelay())
+	return q.gateway.latency.hedgeDelay(latencyKey{q.entry.Name, relayed}, q.maxHedgeDelay())
 }
 
-// longestHedgeDelay is after what time a call is late whatever was observed.
-func (q *query) longestHedgeDelay() time.Duration {
-	return time.Duration(hedgeCap * float64(q.objective))
+// maxHedgeDelay returns the delay after which a call counts as late regardless of the observed
+// latency.
+func (q *query) maxHedgeDelay() time.Duration {
+	return time.Duration(maxHedgeDelayShare * float64(q.objective))
 }
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -165,7 +165,7 @@
 	bound := limit.ColdBound{PerSecond: 1, Excess: 1, Slack: 1}
 	shares := func(discovery.Server) control.Share { return control.Share{Conns: 5, Hosts: 1, Cold: bound} }
 	f.update([]discovery.Server{{ID: "i", Service: "s", Domain: "a1", Slots: 2, ColdUntil: now.Add(time.Minute)}}, shares, now)
-	_, err := f.group("s").take(f.server("i"), replica.Due{Objective: time.Second, Left: time.Second}, now)
+	_, err := f.group("s").takeSlot(f.server("i"), replica.Due{Objective: time.Second, Left: time.Second}, now)
 	var cold *coldError
 	assert.Assert(t, errors.As(err, &cold), "%v", err)
 }
--- a/internal/gateway/edges.go
+++ b/internal/gateway/edges.go
@@ -20,62 +20,62 @@
 	Host string
 	// Path is the path that selects the route.
 	Path string
-	// Target is the path and query as the caller sent them.
+	// Target is the path and query as sent by the caller.
 	Target string
 	// Header holds the end-to-end headers.
 	Header http.Header
-	// HeaderBytes is the size of the header as the caller sent it.
+	// HeaderBytes is the size of the header as sent by the caller.
 	HeaderBytes int
 	Body        []byte
 	// Arrived is when the request was read.
 	Arrived time.Time
-	// Timeout is for how long the caller waits; 0 is unknown.
+	// Timeout is how long the caller waits; 0 is unknown.
 	Timeout time.Duration
 }
 
-// Reply is what a server sent.
+// Reply is the reply of a backend server.
 type Reply struct {
 	Status int
-	// Header holds all headers as they came.
+	// Header holds all headers as received.
 	Header http.Header
 	Body   []byte
 	// Signature proves that the server ran the request.
 	Signature string
-	// Load is what the server tells of itself.
+	// Load is the load that the server reported.
 	Load Load
 }
 
-// Load is what a server tells of its load with an answer.
+// Load is the load that a server reports with a reply.
 type Load struct {
-	// Known tells that the server told it.
+	// Known reports whether the server reported its load.
 	Known bool
-	// Running and Waiting are the numbers of requests that run and wait.
+	// Running and Waiting are the numbers of running and queued requests.
 	Running, Waiting int
-	// Slowness is how many times longer than usual work takes on the server's machine at
-	// this moment; 0 is unknown.
+	// Slowness is the current slowdown of the server's machine, as a factor of the usual duration
+	// of work; 0 is unknown.
 	Slowness float64
-	// Unreadable is what the server told where that cannot be read.
+	// Unreadable is the report of the server if it could not be parsed.
 	Unreadable string
 }
 
 // OK reports whether the server served the request.
 func (r *Reply) OK() bool { return r.Status >= 200 && r.Status < 300 }
 
-// NotRunError says that a server did not run a request.
+// NotRunError reports that a server did not run a request.
 type NotRunError struct {
-	// Arrived tells that the server refused it; otherwise it was not sent.
+	// Arrived reports that the server refused the request; otherwise it was not sent.
 	Arrived bool
-	// Moved tells that the address now belongs to another server.
+	// Moved reports that the address now belongs to another server.
 	Moved bool
-	// Absent tells of a request that was not sent that nothing listens at the address.
+	// Absent reports that the request was not sent because nothing listens at the address.
 	Absent bool
 	Reason string
-	// Load is what the server told of itself when it refused.
+	// Load is the load that the server reported with its refusal.
 	Load Load
 	Err  error
 }
 
-// Error gives the reason.
+// Error implements error.
 func (e *NotRunError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("not run: %s: %v", e.Reason, e.Err)
@@ -83,17 +83,17 @@
 	return "not run: " + e.Reason
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, if any.
 func (e *NotRunError) Unwrap() error { return e.Err }
 
 // Leafs calls backend servers.
 type Leafs interface {
-	// Call sends a request to a server. The error is a *NotRunError where the
-	// server cannot have run the request; after any other it may have. fresh
-	// asks for a connection that was not idle for long.
+	// Call sends a request to a server. The error is a *NotRunError if the server cannot have run
+	// the request; after any other error it may have. fresh asks for a connection that has not been
+	// idle for long.
 	Call(ctx context.Context, server discovery.Server, request *Request, timeout time.Duration, fresh bool) (*Reply, error)
-	// Ended reports whether nothing listens at a server's address any more. Where that
-	// cannot be found out within the time of a message there and back, it has not.
+	// Ended reports whether nothing listens at a server's address any more. It returns false if
+	// that cannot be determined within about a round trip.
 	Ended(ctx context.Context, server discovery.Server) bool
 	// Forget closes the idle connections to a server that is gone.
 	Forget(server discovery.Server)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -19,23 +19,22 @@
 )
 
 const (
-	// regionDistance is what a call into another failure domain of the region
-	// costs beside its time: it is preferred to waiting a few milliseconds.
+	// regionDistance is the latency penalty for a server in another failure domain of the region. A
+	// near server is preferred unless it is slower by more than this.
 	regionDistance = 3 * time.Millisecond
-	// farDistance is the same for another region: bytes over that way are the
-	// dearest thing the tier uses, so a near server that is busy with a request
-	// or two is still preferred.
+	// farDistance is the latency penalty for a server in another region. It is high because traffic
+	// between regions is the most expensive: a near server is preferred even with a few requests
+	// queued.
 	farDistance = 40 * time.Millisecond
-	// nearWay and farWay are the times of a message to a host of the own region and of
-	// another one.
-	nearWay = time.Millisecond
-	farWay  = 10 * time.Millisecond
-	// slowerFactor and slowerMargin say by how much a server must be slower
-	// than another for the preferred region to be given up: more than the usual
-	// scatter of latencies.
+	// nearLatency and farLatency are the usual one-way message times within the region and to
+	// another region.
+	nearLatency = time.Millisecond
+	farLatency  = 10 * time.Millisecond
+	// slowerFactor and slowerMargin define how much slower than another far server one in the
+	// preferred region may be. They exceed the usual variation of latencies.
 	slowerFactor = 1.6
 	slowerMargin = 6 * time.Millisecond
-	// maxReplicas bounds the replicas of a group, as their masks are 64 bits.
+	// maxReplicas limits the replicas of a group, because sets of replicas are 64-bit masks.
 	maxReplicas = 64
 )
 
@@ -44,28 +43,29 @@
 	errNoSlot   = errors.New("all servers of the service are busy")
 )
 
-// tooLateError says that a call would come too late for those before it at the server.
+// tooLateError reports that a call would complete too late because of the requests queued at the
+// server.
 type tooLateError struct {
-	// wait is how long those take.
+	// wait is the time until those requests have run.
 	wait time.Duration
 }
 
-// Error names the wait.
+// Error implements error.
 func (e *tooLateError) Error() string {
-	return fmt.Sprintf("the call would wait %v at the server and come too late: add a replica of this shard", e.wait.Round(time.Millisecond))
+	return fmt.Sprintf("the call would wait %v at the server and complete too late: add a replica of this shard", e.wait.Round(time.Millisecond))
 }
 
-// backend is one server with what this host has observed of it.
+// backend is a server together with what this host has observed of it.
 type backend struct {
 	discovery.Server
 	region string
 	leaf   *replica.Leaf
-	// share is this host's part of it.
+	// share is this host's share of the server.
 	share control.Share
-	// cold deals out what this host may send it while it is cold.
+	// cold limits the requests that this host sends while the server is cold.
 	cold *limit.Cold
-	// saidUnreadable tells that the log says that its load reports cannot be read.
-	saidUnreadable *atomic.Bool
+	// unreadableLogged reports that unreadable load reports of the server were logged.
+	unreadableLogged *atomic.Bool
 }
 
 // group holds the servers of one service.
@@ -74,63 +74,63 @@
 	mu      sync.Mutex
 	set     *replica.Set
 	members []*backend
-	// evacuated tells that the failure domain of some server is to get nothing.
-	evacuated bool
-	window    *retry.Window
-	// gate decides about the requests of which this is the first service.
+	// evacuated reports that the failure domain of some server is evacuated.
+	evacuated   bool
+	retryWindow *retry.Window
+	// gate decides on admission of the requests whose first service this is.
 	gate *admission.Gate
-	// calls is the time of calls to the servers.
-	calls *metrics.Histogram
+	// callDuration is the histogram of the duration of calls to the servers.
+	callDuration *metrics.Histogram
 }
 
 // fleet holds the groups of all services. It is safe for concurrent use.
 type fleet struct {
-	location location
-	window   time.Duration
-	mu       sync.RWMutex
-	groups   map[string]*group
-	byID     map[string]*backend
+	location  location
+	retrySpan time.Duration
+	mu        sync.RWMutex
+	groups    map[string]*group
+	byID      map[string]*backend
 }
 
-// location says where a host stands.
+// location is the place of a host in the deployment.
 type location struct {
 	name, domain, region string
 	// regions maps failure domains to regions.
 	regions map[string]string
 }
 
-func (p location) distance(domain string) time.Duration {
+func (l location) distance(domain string) time.Duration {
 	switch {
-	case domain == p.domain:
+	case domain == l.domain:
 		return 0
-	case p.regions[domain] == p.region:
+	case l.regions[domain] == l.region:
 		return regionDistance
 	}
 	return farDistance
 }
 
-// way is the usual time of a message to a host of a region.
-func (p location) way(region string) time.Duration {
-	if region == p.region {
-		return nearWay
+// messageLatency returns the usual one-way message time to a host of a region.
+func (l location) messageLatency(region string) time.Duration {
+	if region == l.region {
+		return nearLatency
 	}
-	return farWay
+	return farLatency
 }
 
-// slots is the number of calls that this host makes at a time to a server. One that passes
-// them to other hosts is bounded by these.
-func (p location) slots(own control.Share) int {
-	if own.Calls(p.name, p.domain) {
-		return own.Conns
+// slots returns the number of concurrent calls that this host may have at a server. A host that
+// does not call the server itself may use the slots of all hosts that do.
+func (l location) slots(share control.Share) int {
+	if share.Calls(l.name, l.domain) {
+		return share.Conns
 	}
-	return own.Conns * own.Hosts
+	return share.Conns * share.Hosts
 }
 
-func newFleet(p location, window time.Duration) *fleet {
-	return &fleet{location: p, window: window, groups: map[string]*group{}, byID: map[string]*backend{}}
+func newFleet(loc location, retrySpan time.Duration) *fleet {
+	return &fleet{location: loc, retrySpan: retrySpan, groups: map[string]*group{}, byID: map[string]*backend{}}
 }
 
-// group returns the group of a service, which may be empty.
+// group returns the group of a service, creating an empty one if necessary.
 func (f *fleet) group(service string) *group {
 	f.mu.RLock()
 	g := f.groups[service]
@@ -146,7 +146,7 @@
 func (f *fleet) groupLocked(service string) *group {
 	g := f.groups[service]
 	if g == nil {
-		g = &group{service: service, set: newSet(nil), gate: admission.NewGate(newRNG()), window: retry.NewWindow(f.window), calls: callHistogram(service)}
+		g = &group{service: service, set: newSet(nil), gate: admission.NewGate(newRNG()), retryWindow: retry.NewWindow(f.retrySpan), callDuration: callHistogram(service)}
 		f.groups[service] = g
 	}
 	return g
@@ -165,7 +165,7 @@
 	return f.byID[id]
 }
 
-// servers returns all servers known.
+// servers returns all known servers.
 func (f *fleet) servers() []discovery.Server {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -176,9 +176,9 @@
 	return all
 }
 
-// update takes the servers now registered. It returns those that are later processes than
-// the ones known before under their identifiers, and those processes that ended without
-// having drained. shares gives this host's part of a server.
+// update replaces the registered servers. It returns the servers that were restarted under their
+// previous identifiers, and the processes that ended without having drained. shares returns this
+// host's share of a server.
 func (f *fleet) update(servers []discovery.Server, shares func(discovery.Server) control.Share, now time.Time) (restarted, ended []discovery.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,7 +188,7 @@
 	evacuated := map[string]bool{}
 	for _, s := range servers {
 		old := previous[s.ID]
-		if old != nil && startsAnew(s, old.Server) {
+		if old != nil && isNewInstance(s, old.Server) {
 			old.retire(f.groupLocked(old.Service))
 			old = nil
 			restarted = append(restarted, s)
@@ -196,7 +196,7 @@
 				ended = append(ended, previous[s.ID].Server)
 			}
 		}
-		b := adopt(old, s, f.location, shares(s), now)
+		b := newBackend(old, s, f.location, shares(s), now)
 		f.byID[s.ID] = b
 		evacuated[s.Service] = evacuated[s.Service] || s.Evacuated
 		if s.Draining || s.Evacuated {
@@ -217,28 +217,29 @@
 		f.groupLocked(service)
 	}
 	for service, g := range f.groups {
-		g.replace(members[service], evacuated[service])
+		g.setMembers(members[service], evacuated[service])
 	}
 	return restarted, ended
 }
 
-// processName names the process of a server.
+// processName returns a name for one process of a server.
 func processName(s discovery.Server) string { return fmt.Sprintf("%s#%d", s.ID, s.Born) }
 
-// startsAnew reports whether what was observed of a server before says nothing about it now:
-// it is a later process, or its failure domain was evacuated in between.
-func startsAnew(s, before discovery.Server) bool {
+// isNewInstance reports whether earlier observations of a server no longer apply: its process was
+// replaced, or the evacuation of its failure domain has ended.
+func isNewInstance(s, before discovery.Server) bool {
 	return s.Replaces(before) || before.Evacuated && !s.Evacuated
 }
 
-// adopt returns the backend for a registration, keeping what was observed.
-func adopt(old *backend, s discovery.Server, p location, own control.Share, now time.Time) *backend {
-	b := &backend{Server: s, region: p.regions[s.Domain], share: own}
+// newBackend returns the backend of a registered server, keeping the observations of old if that is
+// not nil.
+func newBackend(old *backend, s discovery.Server, loc location, share control.Share, now time.Time) *backend {
+	b := &backend{Server: s, region: loc.regions[s.Domain], share: share}
 	if old != nil {
-		b.leaf, b.cold, b.saidUnreadable = old.leaf, old.cold, old.saidUnreadable
+		b.leaf, b.cold, b.unreadableLogged = old.leaf, old.cold, old.unreadableLogged
 	} else {
-		b.cold, b.saidUnreadable = &limit.Cold{}, &atomic.Bool{}
-		b.leaf = &replica.Leaf{Address: s.Address, Domain: s.Domain, Slots: limit.NewSlots(p.slots(own)), Sharers: own.Hosts, Distance: p.distance(s.Domain), Parallel: max(s.Slots, 1)}
+		b.cold, b.unreadableLogged = &limit.Cold{}, &atomic.Bool{}
+		b.leaf = &replica.Leaf{Address: s.Address, Domain: s.Domain, Slots: limit.NewSlots(loc.slots(share)), Sharers: share.Hosts, Distance: loc.distance(s.Domain), Parallel: max(s.Slots, 1)}
 		if now.Before(s.ColdUntil) {
 			b.leaf.Slots.Restarted(now)
 		}
@@ -246,14 +247,14 @@
 	return b
 }
 
-// retire forbids calls to a server that drains or is gone.
+// retire forbids new calls to a server that drains or is gone.
 func (b *backend) retire(g *group) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b.leaf.Leaving = true
 }
 
-func (g *group) replace(members []*backend, evacuated bool) {
+func (g *group) setMembers(members []*backend, evacuated bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.evacuated = evacuated
@@ -280,7 +281,7 @@
 	return true
 }
 
-// setShares changes this host's part of each server.
+// setShares updates this host's share of each server.
 func (f *fleet) setShares(shares func(discovery.Server) control.Share, now time.Time) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -289,16 +290,16 @@
 	}
 }
 
-func (g *group) setShares(location location, shares func(discovery.Server) control.Share, now time.Time) {
+func (g *group) setShares(loc location, shares func(discovery.Server) control.Share, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range g.members {
-		own := shares(b.Server)
-		b.share = own
-		b.leaf.Slots.SetShare(location.slots(own))
-		b.leaf.Sharers = own.Hosts
-		if own.Cold.Known() {
-			b.cold.SetCaller(own.CallsCold(location.name, location.domain), now)
+		share := shares(b.Server)
+		b.share = share
+		b.leaf.Slots.SetShare(loc.slots(share))
+		b.leaf.Sharers = share.Hosts
+		if share.Cold.Known() {
+			b.cold.SetCaller(share.CallsCold(loc.name, loc.domain), now)
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,34 +21,34 @@
 	"github.com/mallowgap/mallowgap/route"
 )
 
-// Edges are the adapters that a gateway works through.
+// Edges are the platform adapters that a gateway uses.
 type Edges struct {
 	Store control.Store
 	Leafs Leafs
 	Peers Peers
-	// Suspended tells for how long the machine has been suspended since it started; nil: the
-	// clocks of the system tell.
+	// Suspended returns the total time for which the machine has been suspended since boot. If nil,
+	// it is derived from the system clocks.
 	Suspended func() time.Duration
 }
 
-// Gateway is the daemon.
+// Gateway serves callers by routes and relays calls for other gateways.
 type Gateway struct {
-	name     string
-	settings *settingspb.Gateway
-	edges    Edges
-	log      zerolog.Logger
-	self     *relaypb.Host
-	fleet    *fleet
-	control  *control.Control
-	requests *requestLog
-	latency  *latencies
-	peers    *control.PeerHealth
-	reports  *reports
-	guard    *guard.Guard
-	sleep    *sleep
-	// patience tells by route for how long callers wait.
-	patienceMu sync.Mutex
-	patience   map[string]*admission.Patience
+	name        string
+	settings    *settingspb.Gateway
+	edges       Edges
+	log         zerolog.Logger
+	self        *relaypb.Host
+	fleet       *fleet
+	control     *control.Control
+	requestLog  *requestLog
+	latency     *latencyTracker
+	peerHealth  *control.PeerHealth
+	slowReports *slowReports
+	guard       *guard.Guard
+	suspensions *suspensions
+	// callerWaits infers, by route, how long callers have already waited.
+	callerWaitsMu sync.Mutex
+	callerWaits   map[string]*admission.Patience
 
 	started  time.Time
 	inFlight atomic.Int64
@@ -56,78 +56,82 @@
 	stop     context.CancelFunc
 }
 
-// New returns a gateway; Start must follow.
+// New returns a gateway that serves once Start is called.
 func New(settings *settingspb.Gateway, edges Edges, log zerolog.Logger) *Gateway {
 	h := settings.GetHost()
-	p := location{name: h.GetName(), domain: h.GetFailureDomain(), region: h.GetRegion(), regions: regions(h.GetRegions())}
-	f := newFleet(p, settings.GetRetry().GetWindow().AsDuration())
+	loc := location{name: h.GetName(), domain: h.GetFailureDomain(), region: h.GetRegion(), regions: parseRegions(h.GetRegions())}
+	f := newFleet(loc, settings.GetRetry().GetWindow().AsDuration())
 	g := &Gateway{
 		name: h.GetName(), settings: settings, edges: edges, log: log, fleet: f,
 		self: &relaypb.Host{
-			Name: h.GetName(), Address: cmp.Or(settings.GetListen().GetPeersAdvertised(), settings.GetListen().GetPeers()), Domain: p.domain, Region: p.region,
+			Name: h.GetName(), Address: cmp.Or(settings.GetListen().GetPeersAdvertised(), settings.GetListen().GetPeers()), Domain: loc.domain, Region: loc.region,
 			Strength: h.GetCpuShare() * h.GetCpuSpeed(), Packs: true, Whole: true,
 		},
-		requests: newRequestLog(log, int(settings.GetLog().GetRequestsPerSecond())),
-		latency:  newLatencies(settings.GetQuery().GetHedgeQuantile()),
-		reports:  newReports(f),
-		sleep:    newSleep(),
-		patience: map[string]*admission.Patience{},
-		started:  time.Now(),
+		requestLog:  newRequestLog(log, int(settings.GetLog().GetRequestsPerSecond())),
+		latency:     newLatencyTracker(settings.GetQuery().GetHedgeQuantile()),
+		slowReports: newSlowReports(f),
+		suspensions: newSuspensions(),
+		callerWaits: map[string]*admission.Patience{},
+		started:     time.Now(),
 	}
-	g.guard = guard.New(h.GetName(), keeper{g}, log)
+	g.guard = guard.New(h.GetName(), quarantineStore{g}, log)
 	g.control = control.New(control.Config{
-		Self: g.self, Settings: settings.GetStore(), Seeds: list(settings.GetStore().GetSeeds()),
+		Self: g.self, Settings: settings.GetStore(), Seeds: splitList(settings.GetStore().GetSeeds()),
 		RelaysPerDomain: int(settings.GetRelay().GetHostsPerDomain()),
 		Cold:            limit.ColdBound{Excess: settings.GetCold().GetExcess(), Slack: settings.GetCold().GetSlack()},
-		Store:           edges.Store, Peers: edges.Peers, Listener: listener{g}, Suspended: edges.Suspended, Log: log,
+		Store:           edges.Store, Peers: edges.Peers, Listener: controlListener{g}, Suspended: edges.Suspended, Log: log,
 	})
-	g.peers = g.control.Health()
+	g.peerHealth = g.control.Health()
 	return g
 }
 
-// keeper lets the store keep what this host saw. The control is made after the guard, which it
-// tells what it reads.
-type keeper struct{ gateway *Gateway }
+// quarantineStore writes quarantine records through the control goroutine. It refers to the gateway
+// because Control is created after the guard that uses it.
+type quarantineStore struct{ gateway *Gateway }
 
 // PutRecord implements guard.Keeper.
-func (k keeper) PutRecord(name string, value []byte) { k.gateway.control.PutRecord(name, value) }
+func (s quarantineStore) PutRecord(name string, value []byte) {
+	s.gateway.control.PutRecord(name, value)
+}
 
 // RemoveRecords implements guard.Keeper.
-func (k keeper) RemoveRecords(names []string) { k.gateway.control.RemoveRecords(names) }
+func (s quarantineStore) RemoveRecords(names []string) { s.gateway.control.RemoveRecords(names) }
 
-// listener takes what the control side learns to the way of a request.
-type listener struct{ gateway *Gateway }
+// controlListener applies changes of the control state to the request path.
+type controlListener struct{ gateway *Gateway }
 
 // ServersChanged implements control.Listener.
-func (l listener) ServersChanged(servers []discovery.Server, shares func(discovery.Server) control.Share, now time.Time) {
+func (l controlListener) ServersChanged(servers []discovery.Server, shares func(discovery.Server) control.Share, now time.Time) {
 	restarted, ended := l.gateway.fleet.update(servers, shares, now)
 	for _, s := range ended {
 		l.gateway.guard.ServerEnded(processName(s), s.ID, s.Service, now)
 	}
 	for _, restarted := range restarted {
-		l.gateway.requests.servers.Info().Str("server", restarted.ID).Str("service", restarted.Service).Int64("born", restarted.Born).Msg("server starts anew: what was observed of it is forgotten")
+		l.gateway.requestLog.servers.Info().Str("server", restarted.ID).Str("service", restarted.Service).Int64("born", restarted.Born).Msg("server restarted: earlier observations discarded")
 		go l.gateway.edges.Leafs.Forget(restarted)
 	}
 	l.gateway.fleet.setShares(shares, now)
 }
 
 // ServerGone implements control.Listener.
-func (l listener) ServerGone(server discovery.Server) { go l.gateway.edges.Leafs.Forget(server) }
+func (l controlListener) ServerGone(server discovery.Server) { go l.gateway.edges.Leafs.Forget(server) }
 
 // TableChanged implements control.Listener.
-func (l listener) TableChanged(t *route.Table) {
-	l.gateway.latency.forgetOthers(t.HasRoute)
-	l.gateway.forgetPatience(t.HasRoute)
-	forgetRoutes(t.HasRoute)
+func (l controlListener) TableChanged(t *route.Table) {
+	l.gateway.latency.prune(t.HasRoute)
+	l.gateway.pruneCallerWaits(t.HasRoute)
+	pruneRouteMetrics(t.HasRoute)
 }
 
 // QuarantineChanged implements control.Listener.
-func (l listener) QuarantineChanged(e control.Entry, now time.Time) { l.gateway.guard.Learn(e, now) }
+func (l controlListener) QuarantineChanged(e control.Entry, now time.Time) {
+	l.gateway.guard.Learn(e, now)
+}
 
-// Slept implements control.Listener: requests in hand are as much older, and connections that
-// are idle may be silent for good.
-func (l listener) Slept(d time.Duration) {
-	l.gateway.sleep.add(d)
+// Slept implements control.Listener. It ages the requests in flight and closes idle connections,
+// which may have died silently during the suspension.
+func (l controlListener) Slept(duration time.Duration) {
+	l.gateway.suspensions.add(duration)
 	go func() {
 		for _, server := range l.gateway.fleet.servers() {
 			l.gateway.edges.Leafs.Forget(server)
@@ -137,7 +141,7 @@
 
 // State implements the relay protocol.
 func (g *Gateway) State(ctx context.Context, m *relaypb.StateRequest) (reply *relaypb.StateReply, err error) {
-	err = g.contain("a question of a peer", "", func() error {
+	err = g.recoverPanic("state request of a peer", "", func() error {
 		reply, err = g.control.State(ctx, m)
 		return err
 	})
@@ -146,7 +150,7 @@
 
 // Tell implements the relay protocol.
 func (g *Gateway) Tell(ctx context.Context, m *relaypb.TellRequest) (reply *relaypb.TellReply, err error) {
-	err = g.contain("the word of a peer", "", func() error {
+	err = g.recoverPanic("tell request of a peer", "", func() error {
 		reply = g.control.Tell(ctx, m)
 		return nil
 	})
@@ -155,20 +159,20 @@
 
 // Follow implements the relay protocol.
 func (g *Gateway) Follow(m *relaypb.FollowRequest, stream relaypb.DRPCRelay_FollowStream) error {
-	return g.contain("a peer that follows", "", func() error { return g.control.Follow(m, stream) })
+	return g.recoverPanic("follow stream of a peer", "", func() error { return g.control.Follow(m, stream) })
 }
 
-// regions reads DOMAIN=REGION, comma-separated.
-func regions(text string) map[string]string {
+// parseRegions parses a comma-separated list of DOMAIN=REGION pairs.
+func parseRegions(pairs string) map[string]string {
 	m := map[string]string{}
-	for _, pair := range list(text) {
+	for _, pair := range splitList(pairs) {
 		domain, region, _ := strings.Cut(pair, "=")
 		m[strings.TrimSpace(domain)] = strings.TrimSpace(region)
 	}
 	return m
 }
 
-func list(text string) []string {
+func splitList(text string) []string {
 	var items []string
 	for _, item := range strings.Split(text, ",") {
 		if item = strings.TrimSpace(item); item != "" {
@@ -178,38 +182,38 @@
 	return items
 }
 
-// Start starts the control goroutine and the duties. They end with ctx.
+// Start starts the control goroutine and the background tasks, which run until ctx is done.
 func (g *Gateway) Start(ctx context.Context) {
 	ctx, g.stop = context.WithCancel(ctx)
 	g.control.Start(ctx)
 	go g.sweepQuarantine(ctx)
 }
 
-// sweepQuarantine forgets records whose time is over until ctx ends.
+// sweepQuarantine removes expired quarantine records periodically until ctx is done.
 func (g *Gateway) sweepQuarantine(ctx context.Context) {
 	for pause.For(ctx, guard.SweepEvery); ctx.Err() == nil; pause.For(ctx, guard.SweepEvery) {
 		g.guard.Sweep(g.control.ReadsStore(), time.Now())
 	}
 }
 
-// Ready reports whether the balancer should send requests here.
+// Ready reports whether the load balancer should send requests to this host.
 func (g *Gateway) Ready() bool { return g.control.View().Ready }
 
 // Stopping reports whether a planned stop has begun.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
 
-// Leave begins a planned stop: the host is no longer ready, and peers no longer
-// find it. Requests that arrive are still served.
+// Leave begins a planned stop: the host reports itself not ready and withdraws from its peers.
+// Requests that still arrive are served.
 func (g *Gateway) Leave(ctx context.Context) {
 	g.stopping.Store(true)
 	g.control.Leave(ctx)
 }
 
-// InFlight returns the number of requests being served, for callers and peers.
+// InFlight returns the number of requests being served for callers and peers.
 func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-// Drained waits until no request is in flight and returns how many still are
-// when ctx ends.
+// Drained waits until no request is in flight or ctx is done, and returns the number of requests
+// still in flight.
 func (g *Gateway) Drained(ctx context.Context) int {
 	const pollEvery = 10 * time.Millisecond
 	for g.InFlight() > 0 && ctx.Err() == nil {
@@ -218,7 +222,7 @@
 	return g.InFlight()
 }
 
-// Close ends the duties.
+// Close stops the background tasks and waits for them.
 func (g *Gateway) Close() {
 	g.stop()
 	g.control.Wait()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -67,7 +67,7 @@
 		w.leafs.set("shard0", unreachable)
 		w.ask("host1", "/q/x")
 		g := w.hosts["host1"].fleet.group("shard0")
-		first, extra := g.window.Counts(time.Now())
+		first, extra := g.retryWindow.Counts(time.Now())
 		assert.Assert(t, w.leafs.arrivals("shard0") > 1, "it is tried more than once")
 		assert.Equal(t, first, 1)
 		assert.Equal(t, extra, 0)
@@ -423,7 +423,7 @@
 }
 
 // size returns the number of routes remembered, near and far apart.
-func (l *latencies) size() int {
+func (l *latencyTracker) size() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.delays)
@@ -484,7 +484,7 @@
 		w.startOn(late, slowStore{w.store, 400 * time.Millisecond})
 		begun := time.Now()
 		assert.Equal(t, w.ask("late9", "/one/x").Outcome, NotRun)
-		assert.Assert(t, time.Since(begun) <= startWait, "%v", time.Since(begun))
+		assert.Assert(t, time.Since(begun) <= startupWait, "%v", time.Since(begun))
 	})
 }
 
--- a/internal/gateway/latency.go
+++ b/internal/gateway/latency.go
@@ -7,12 +7,12 @@
 	"github.com/mallowgap/mallowgap/retry"
 )
 
-// hedgeFloor is the least delay before a hedge: below it timers and the
-// scheduling of goroutines decide, not the server.
-const hedgeFloor = 4 * time.Millisecond
+// minHedgeDelay is the minimum delay before a hedge. Shorter latencies are dominated by timers and
+// goroutine scheduling.
+const minHedgeDelay = 4 * time.Millisecond
 
-// latencies follow the latency of calls by route, near and far apart.
-type latencies struct {
+// latencyTracker tracks the latency of calls by route, separately for direct and relayed calls.
+type latencyTracker struct {
 	quantile float64
 	mu       sync.Mutex
 	delays   map[latencyKey]*retry.HedgeDelay
@@ -20,47 +20,47 @@
 
 type latencyKey struct {
 	route string
-	// relayed is the time until a relay's reply came here; otherwise that from
-	// the call of a server to its reply, wherever the call was made.
+	// relayed selects the time until a relay's reply arrived at this host; otherwise it is the time
+	// from the call of a server to its reply, measured at the host that made the call.
 	relayed bool
 }
 
-func newLatencies(quantile float64) *latencies {
-	return &latencies{quantile: quantile, delays: map[latencyKey]*retry.HedgeDelay{}}
+func newLatencyTracker(quantile float64) *latencyTracker {
+	return &latencyTracker{quantile: quantile, delays: map[latencyKey]*retry.HedgeDelay{}}
 }
 
-func (l *latencies) of(key latencyKey) *retry.HedgeDelay {
+func (l *latencyTracker) delayOf(key latencyKey) *retry.HedgeDelay {
 	d := l.delays[key]
 	if d == nil {
-		d = retry.NewHedgeDelay(l.quantile, hedgeFloor)
+		d = retry.NewHedgeDelay(l.quantile, minHedgeDelay)
 		l.delays[key] = d
 	}
 	return d
 }
 
-// forgetOthers forgets the routes that keep does not know.
-func (l *latencies) forgetOthers(keep func(route string) bool) {
+// prune removes the state of routes that are no longer known.
+func (l *latencyTracker) prune(known func(route string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key := range l.delays {
-		if !keep(key.route) {
+		if !known(key.route) {
 			delete(l.delays, key)
 		}
 	}
 }
 
-func (l *latencies) observe(key latencyKey, latency time.Duration) {
+func (l *latencyTracker) observe(key latencyKey, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.of(key).Observe(latency)
+	l.delayOf(key).Observe(latency)
 }
 
-// delay returns after what time a call is late, or fallback while little is
-// known.
-func (l *latencies) delay(key latencyKey, fallback time.Duration) time.Duration {
+// hedgeDelay returns the delay after which a call is late, or fallback if there are too few
+// observations.
+func (l *latencyTracker) hedgeDelay(key latencyKey, fallback time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if d, ok := l.of(key).Delay(); ok {
+	if d, ok := l.delayOf(key).Delay(); ok {
 		return min(d, fallback)
 	}
 	return fallback
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -10,20 +10,20 @@
 	"github.com/mallowgap/mallowgap/api/relaypb"
 )
 
-// serversAbsent counts servers at whose addresses nothing listened any more.
+// serversAbsent counts the servers found to be absent: nothing listened at the address any more.
 var serversAbsent = metrics.GetOrCreateCounter("mallowgap_servers_absent_total")
 
 func countAnswer(route string, a Answer) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("mallowgap_requests_total{route=%q,outcome=%q,cause=%q}", route, a.Outcome, a.Code)).Inc()
 }
 
-// forgetRoutes removes the metrics of routes that keep does not know, so that
-// their number stays bounded while routes come and go.
-func forgetRoutes(keep func(route string) bool) {
+// pruneRouteMetrics removes the metrics of routes that are no longer known, so that their number
+// stays bounded.
+func pruneRouteMetrics(known func(route string) bool) {
 	for _, name := range metrics.ListMetricNames() {
 		_, label, found := strings.Cut(name, "{route=\"")
 		route, _, _ := strings.Cut(label, "\"")
-		if found && route != "" && !keep(route) {
+		if found && route != "" && !known(route) {
 			metrics.UnregisterMetric(name)
 		}
 	}
@@ -33,13 +33,12 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf("mallowgap_request_duration_seconds{route=%q}", route)).Update(d.Seconds())
 }
 
-// callHistogram returns the histogram of the time of calls to the servers of a
-// service.
+// callHistogram returns the histogram of the duration of calls to the servers of a service.
 func callHistogram(service string) *metrics.Histogram {
 	return metrics.GetOrCreateHistogram(fmt.Sprintf("mallowgap_server_call_duration_seconds{service=%q}", service))
 }
 
-// attemptCounters are by kind of attempt and what became of it.
+// attemptCounters counts attempts by kind and outcome.
 var attemptCounters = newAttemptCounters()
 
 func newAttemptCounters() map[attemptKind]map[relaypb.Outcome]*metrics.Counter {
@@ -60,7 +59,7 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf("mallowgap_gateway_attempts_denied_total{kind=%q}", kind)).Inc()
 }
 
-// attemptKind is why an attempt is made.
+// attemptKind is the reason for an attempt.
 type attemptKind string
 
 const (
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -242,9 +242,9 @@
 
 // routesWaitedFor returns the number of routes of which the callers' patience is known.
 func (g *Gateway) routesWaitedFor() int {
-	g.patienceMu.Lock()
-	defer g.patienceMu.Unlock()
-	return len(g.patience)
+	g.callerWaitsMu.Lock()
+	defer g.callerWaitsMu.Unlock()
+	return len(g.callerWaits)
 }
 
 // A relay to which a server was idle for a while calls it twice at the same moment: the
@@ -254,11 +254,11 @@
 		f := w.hosts["host1"].fleet
 		b, g := f.server("shard0@a1"), f.group("shard0")
 		due := replica.Due{Objective: 100 * time.Millisecond, Left: 50 * time.Millisecond}
-		first, err := g.take(b, due, time.Now())
+		first, err := g.takeSlot(b, due, time.Now())
 		assert.NilError(t, err)
 		first.end(callEnd{result: callServed, elapsed: shardWork, atServer: shardWork, load: Load{Known: true}}, time.Now())
 		time.Sleep(5 * time.Second)
-		_, err = g.take(b, due, time.Now())
+		_, err = g.takeSlot(b, due, time.Now())
 		assert.NilError(t, err)
 		_, run := g.soonest(nil, time.Now())
 		assert.Equal(t, run, shardWork)
--- a/internal/gateway/pick.go
+++ b/internal/gateway/pick.go
@@ -15,62 +15,62 @@
 	group   *group
 	backend *backend
 	started time.Time
-	// share is this host's part of the server.
+	// share is this host's share of the server.
 	share control.Share
-	// knownSlow tells that the server was chosen although it is known to be slow.
+	// knownSlow reports that the server was chosen although it is known to be slow.
 	knownSlow bool
-	// cold tells that the server is cold and this host does not call it then: another host
-	// is to be asked.
-	cold bool
-	// released tells that the slot was given back.
+	// needsColdCaller reports that the server is cold and this host is not among its callers
+	// meanwhile, so that another host must make the call.
+	needsColdCaller bool
+	// released reports that the slot was released.
 	released bool
 }
 
-// pickOptions says what kind of slot a request wants.
+// pickOptions selects the slot that a request needs.
 type pickOptions struct {
-	// tried are the servers that were sent the request. They are avoided; where
-	// no other is left, a request that is not a hedge may go there again.
+	// tried lists the servers that were sent the request. They are avoided; if no other server is
+	// left, a request that is not a hedge may go to one of them again.
 	tried []string
 	hedge bool
-	// region is the far region to prefer to others that are as far, so that
-	// one relay serves all far shards of a query; empty for none.
+	// region is the preferred region among equally far ones, so that one relay serves all far
+	// shards of a query; empty for none.
 	region string
-	// probeEvery is how often an avoided server gets a request of this kind.
+	// probeEvery is the interval at which an avoided server gets a request of this kind.
 	probeEvery time.Duration
-	// due is when the part is wanted.
+	// due is when the part is needed.
 	due replica.Due
 	// homes are the regions whose servers may see the request.
 	homes route.Homes
 }
 
-// pick takes a slot on the server that should get a request at now.
-func (g *group) pick(now time.Time, w pickOptions) (*call, error) {
+// pick takes a slot on the best server at now.
+func (g *group) pick(now time.Time, opts pickOptions) (*call, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	away := g.outside(w.homes)
-	if !g.set.Reachable(away) {
+	forbidden := g.outsideHomes(opts.homes)
+	if !g.set.Reachable(forbidden) {
 		return nil, errNoServer
 	}
 	absent := g.set.AbsentMask(now)
-	if !g.set.Reachable(away | absent) {
-		return nil, &absentError{wait: g.set.NextLook(away, now)}
+	if !g.set.Reachable(forbidden | absent) {
+		return nil, &absentError{wait: g.set.NextLook(forbidden, now)}
 	}
-	exclude := away | absent | g.mask(w.tried)
+	exclude := forbidden | absent | g.maskOf(opts.tried)
 	if !g.set.Reachable(exclude) {
-		if w.hedge {
+		if opts.hedge {
 			return nil, errNoServer
 		}
-		exclude = away | absent
+		exclude = forbidden | absent
 	}
-	cold := g.cold(now) &^ exclude
-	i := g.choose(w, away, exclude|cold, now)
-	if i == replica.None && cold != 0 && !w.hedge {
+	cold := g.coldMask(now) &^ exclude
+	i := g.chooseServer(opts, forbidden, exclude|cold, now)
+	if i == replica.None && cold != 0 && !opts.hedge {
 		return g.pickCold(exclude, now)
 	}
 	if i == replica.None {
 		return nil, errNoSlot
 	}
-	if wait, late := g.set.TooLate(i, w.due, now); late {
+	if wait, late := g.set.TooLate(i, opts.due, now); late {
 		return nil, &tooLateError{wait: wait}
 	}
 	if !g.set.Acquire(i, now) {
@@ -79,14 +79,15 @@
 	return &call{group: g, backend: g.members[i], started: now, share: g.members[i].share, knownSlow: g.set.KnownSlow(i, now)}, nil
 }
 
-// choose returns the server that should get a request, or None where all are busy.
-func (g *group) choose(w pickOptions, away, exclude uint64, now time.Time) int {
+// chooseServer returns the index of the best server, or replica.None if all are busy. forbidden is
+// the set of servers outside the homes, exclude that of all servers that must not be chosen.
+func (g *group) chooseServer(opts pickOptions, forbidden, exclude uint64, now time.Time) int {
 	i := replica.None
-	if !w.hedge && len(w.tried) == 0 {
-		i = g.set.Probe(now, exclude, w.probeEvery)
+	if !opts.hedge && len(opts.tried) == 0 {
+		i = g.set.Probe(now, exclude, opts.probeEvery)
 	}
 	if i == replica.None {
-		i = g.pickFar(now, w.region, away, exclude)
+		i = g.pickFar(now, opts.region, forbidden, exclude)
 	}
 	if i == replica.None {
 		i = g.set.Pick(now, 0, exclude)
@@ -94,19 +95,19 @@
 	return i
 }
 
-// soonest estimates after what time a request would have run at the server that brings it
-// first, and how long it would run there; 0 is unknown.
+// soonest estimates, for the server that would finish a request first, when that would be and how
+// long the request would run; 0 is unknown.
 func (g *group) soonest(homes route.Homes, now time.Time) (expected, run time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.set.Soonest(g.outside(homes), now)
+	return g.set.Soonest(g.outsideHomes(homes), now)
 }
 
-// take takes a slot on one given server.
-func (g *group) take(b *backend, due replica.Due, now time.Time) (*call, error) {
+// takeSlot takes a slot on the given server.
+func (g *group) takeSlot(b *backend, due replica.Due, now time.Time) (*call, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	i := g.index(b.leaf)
+	i := g.indexOf(b.leaf)
 	if b.leaf.Leaving || i == replica.None {
 		return nil, errNoServer
 	}
@@ -121,7 +122,7 @@
 		return nil, errNoSlot
 	}
 	if b.isCold(now) {
-		if err := g.takeCold(b, now); err != nil {
+		if err := g.takeColdToken(b, now); err != nil {
 			return nil, err
 		}
 	}
@@ -129,9 +130,9 @@
 	return &call{group: g, backend: b, started: now}, nil
 }
 
-// pickFar picks among the servers of one far region where none is nearer,
-// unless another far server is expected to answer much sooner.
-func (g *group) pickFar(now time.Time, region string, away, exclude uint64) int {
+// pickFar picks a server of the preferred region if the group has no server nearer than another
+// region, unless another far server is expected to answer much sooner.
+func (g *group) pickFar(now time.Time, region string, forbidden, exclude uint64) int {
 	if region == "" {
 		return replica.None
 	}
@@ -147,25 +148,25 @@
 		return replica.None
 	}
 	i := g.set.Pick(now, 0, exclude)
-	if i == replica.None || g.muchSlower(i, away, now) {
+	if i == replica.None || g.muchSlower(i, forbidden, now) {
 		return replica.None
 	}
 	return i
 }
 
-// muchSlower reports whether another server, but for those that are away, is expected to
-// answer in much less time than the i-th.
-func (g *group) muchSlower(i int, away uint64, now time.Time) bool {
+// muchSlower reports whether another server that is not forbidden is expected to answer much sooner
+// than server i.
+func (g *group) muchSlower(i int, forbidden uint64, now time.Time) bool {
 	own := g.set.Expected(i, now)
 	for j := range g.members {
-		if j != i && away&(1<<j) == 0 && own > time.Duration(slowerFactor*float64(g.set.Expected(j, now)))+slowerMargin {
+		if j != i && forbidden&(1<<j) == 0 && own > time.Duration(slowerFactor*float64(g.set.Expected(j, now)))+slowerMargin {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *group) mask(ids []string) uint64 {
+func (g *group) maskOf(ids []string) uint64 {
 	var mask uint64
 	for i, b := range g.members {
 		for _, id := range ids {
@@ -177,8 +178,8 @@
 	return mask
 }
 
-// outside is the set of servers that may not see a request with homes.
-func (g *group) outside(homes route.Homes) uint64 {
+// outsideHomes returns the set of servers that may not see a request with the given homes.
+func (g *group) outsideHomes(homes route.Homes) uint64 {
 	var mask uint64
 	for i, b := range g.members {
 		if !homes.Allow(b.region) {
@@ -188,44 +189,45 @@
 	return mask
 }
 
-// size returns the number of servers in service that may see a request with homes.
-func (g *group) size(homes route.Homes) int {
+// eligibleCount returns the number of servers in service that may see a request with the given
+// homes.
+func (g *group) eligibleCount(homes route.Homes) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.members) - bits.OnesCount64(g.outside(homes))
+	return len(g.members) - bits.OnesCount64(g.outsideHomes(homes))
 }
 
-// hasOther reports whether a server that was not tried may be asked now, of those that may see a
-// request with homes.
-func (g *group) hasOther(tried []string, homes route.Homes, now time.Time) bool {
+// hasUntried reports whether there is a server that may see the request, was not tried and is not
+// absent.
+func (g *group) hasUntried(tried []string, homes route.Homes, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.set.Reachable(g.outside(homes) | g.mask(tried) | g.set.AbsentMask(now))
+	return g.set.Reachable(g.outsideHomes(homes) | g.maskOf(tried) | g.set.AbsentMask(now))
 }
 
-// callEnd is what became of a call.
+// callEnd describes how a call ended.
 type callEnd struct {
 	result callResult
-	// elapsed is the time of the call, seen from here.
+	// elapsed is the duration of the call as seen from this host.
 	elapsed time.Duration
-	// atServer is the time of the call seen from the host that made it.
+	// atServer is the duration of the call as seen from the host that made it.
 	atServer time.Duration
 	load     Load
-	// absent tells that nothing listens at the server's address.
+	// absent reports that nothing listens at the server's address.
 	absent bool
 }
 
-// learned is what the end of a call changed in what is believed of its server.
-type learned struct {
-	// ran is how long the request ran there; 0 is unknown.
-	ran time.Duration
-	// ejected tells that the server failed too often, absent that nothing listens at its
-	// address any more, back that it answers again.
-	ejected, absent, back bool
+// serverChange is what the end of a call changed in the state of its server.
+type serverChange struct {
+	// runTime is how long the request ran at the server; 0 is unknown.
+	runTime time.Duration
+	// ejected reports that the server was ejected after failures, absent that nothing listens at
+	// its address any more, returned that an absent server answered again.
+	ejected, absent, returned bool
 }
 
-// end gives the slot back and notes what became of the call.
-func (c *call) end(e callEnd, now time.Time) (news learned) {
+// end releases the slot and records how the call ended.
+func (c *call) end(e callEnd, now time.Time) (change serverChange) {
 	g := c.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -233,17 +235,17 @@
 	if e.result == callMoved {
 		leaf.Leaving = true
 	}
-	c.release()
-	i := g.index(leaf)
+	c.releaseSlot()
+	i := g.indexOf(leaf)
 	if i == replica.None {
-		return learned{}
+		return serverChange{}
 	}
 	wasAbsent := g.set.IsAbsent(i)
 	if e.load.Slowness > 0 {
 		g.set.Slowed(i, e.load.Slowness, now)
 	}
 	if e.load.Known {
-		news.ran = g.set.Queued(i, e.load.Waiting, e.atServer, now)
+		change.runTime = g.set.Queued(i, e.load.Waiting, e.atServer, now)
 	}
 	if e.absent {
 		g.set.Absent(i, now)
@@ -251,40 +253,40 @@
 	switch e.result {
 	case callServed:
 		g.set.Answered(i, e.elapsed, now)
-	case callShed:
+	case callRefused:
 		g.set.Refused(i, now)
-	case callCut:
+	case callCanceled:
 		g.set.CutShort(i, e.elapsed, now)
 	case callFailed:
-		news.ejected = g.set.Failed(i, now)
+		change.ejected = g.set.Failed(i, now)
 	}
 	isAbsent := g.set.IsAbsent(i)
-	news.absent, news.back = isAbsent && !wasAbsent, wasAbsent && !isAbsent
-	return news
+	change.absent, change.returned = isAbsent && !wasAbsent, wasAbsent && !isAbsent
+	return change
 }
 
-// drop gives the slot back of a call that was not made.
-func (c *call) drop() {
+// abandon releases the slot of a call that was not made.
+func (c *call) abandon() {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
-	c.release()
+	c.releaseSlot()
 }
 
-// release gives the slot back, once. Callers hold the lock of the group.
-func (c *call) release() {
+// releaseSlot releases the slot once. The caller must hold the lock of the group.
+func (c *call) releaseSlot() {
 	if !c.released {
 		c.released = true
 		c.backend.leaf.Slots.Release()
 	}
 }
 
-// index returns the place of a server among the members, or None where it is no
-// longer in service.
-func (g *group) index(leaf *replica.Leaf) int {
+// indexOf returns the index of a server among the members, or replica.None if it is no longer in
+// service.
+func (g *group) indexOf(leaf *replica.Leaf) int {
 	return slices.IndexFunc(g.members, func(b *backend) bool { return b.leaf == leaf })
 }
 
-// callResult is what a call tells about its server.
+// callResult is what a call implies for its server.
 type callResult int
 
 const (
@@ -292,26 +294,26 @@
 	callServed callResult = iota
 	// callFailed: the server failed or could not be reached.
 	callFailed
-	// callShed: the server was full.
-	callShed
+	// callRefused: the server was full.
+	callRefused
 	// callMoved: the address belongs to another server.
 	callMoved
-	// callCut: the call was given up before an answer came.
-	callCut
-	// callNoEvidence: the call says nothing about the server.
-	callNoEvidence
+	// callCanceled: the call was canceled before a reply arrived.
+	callCanceled
+	// callInconclusive: the call says nothing about the server.
+	callInconclusive
 )
 
-// first notes a first attempt at the service.
-func (g *group) first(now time.Time) {
+// countFirst counts a first attempt at the service.
+func (g *group) countFirst(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.window.First(1, now)
+	g.retryWindow.First(1, now)
 }
 
-// extra takes an extra attempt that may use a part of the service's budget.
-func (g *group) extra(part, share, slack float64, now time.Time) bool {
+// takeExtra takes an extra attempt from the given part (0 to 1) of the retry budget of the service.
+func (g *group) takeExtra(part, share, slack float64, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.window.TakePart(part, share, slack, now)
+	return g.retryWindow.TakePart(part, share, slack, now)
 }
--- a/internal/gateway/query.go
+++ b/internal/gateway/query.go
@@ -14,102 +14,105 @@
 )
 
 const (
-	// slotRetry is the wait before a slot is looked for again.
-	slotRetry = 3 * time.Millisecond
-	// refusalRetry is the wait before a shard whose server refused is tried
-	// again.
-	refusalRetry = 8 * time.Millisecond
-	// deniedRetry is the wait before the budget is asked again.
-	deniedRetry = 25 * time.Millisecond
-	// lateGrowth is the time that a late query allows a part, as a share of the time for
-	// which it has been late: twice its objective late it takes part again.
-	lateGrowth = 0.5
-	// leftOutFor is after what time a scarce shard that was left out is considered again
-	// where nothing else happens before.
-	leftOutFor = 50 * time.Millisecond
-	// lookStep and lateLookStep are the steps, from the arrival of a query, at which it looks
-	// again for places that it did not get, before and after it is due: together, so that
-	// one message asks for all of a failure domain.
-	lookStep     = 20 * time.Millisecond
-	lateLookStep = 100 * time.Millisecond
-	// maxRefusals bounds the attempts of one shard that servers refused.
-	maxRefusals = 4
-	// hedgeCap bounds the delay before a hedge, as a share of the objective.
-	hedgeCap = 0.4
-	// softCap bounds for how long a relay gathers before its first reply, as a
-	// share of the objective.
-	softCap = 0.2
-	// singleProbeEvery is how often one host sends an avoided server a request
-	// that is not a query, and has no other server to make up for a slow one.
-	singleProbeEvery = 8 * time.Second
-	// probingHosts is the number of hosts that may each probe at the full rate:
-	// more share that rate, as each has fewer queries to probe with.
-	probingHosts = 6
-	// lingerTime is for how long calls whose answer came too late may still
-	// run, so that their connections can be used again.
-	lingerTime = 250 * time.Millisecond
+	// slotRetryDelay is the delay before another attempt to obtain a slot.
+	slotRetryDelay = 3 * time.Millisecond
+	// refusalRetryDelay is the delay before a shard whose server refused is tried again.
+	refusalRetryDelay = 8 * time.Millisecond
+	// deniedRetryDelay is the delay before a shard is tried again that was denied an extra attempt
+	// by the retry budget or had no server in service.
+	deniedRetryDelay = 25 * time.Millisecond
+	// lateAllowance is the time that a late query allows for a part, as a share of the time by
+	// which it is late. Until the allowance reaches the objective the query yields to queries that
+	// are on time.
+	lateAllowance = 0.5
+	// leftOutRecheck is the delay before a scarce shard that was left out is considered again.
+	leftOutRecheck = 50 * time.Millisecond
+	// recheckStep and lateRecheckStep are the intervals, counted from the arrival of a query, at
+	// which shards without a place are tried again, before and after the query is due. Common steps
+	// let one relay call cover all shards of a failure domain.
+	recheckStep     = 20 * time.Millisecond
+	lateRecheckStep = 100 * time.Millisecond
+	// maxRefusalsPerShard limits the attempts refused by servers, on average over the shards.
+	maxRefusalsPerShard = 4
+	// maxHedgeDelayShare limits the delay before a hedge, as a share of the objective.
+	maxHedgeDelayShare = 0.4
+	// maxSoftTimeoutShare limits how long a relay collects parts before its first reply, as a share
+	// of the objective.
+	maxSoftTimeoutShare = 0.2
+	// singleProbeInterval is the interval at which one host probes an avoided server with a request
+	// that is not a query. Such a request is not covered by other shards, so the caller pays for a
+	// slow reply.
+	singleProbeInterval = 8 * time.Second
+	// fullRateProbers is the number of hosts up to which each probes at the full rate. In a larger
+	// fleet the rate of each host is reduced in proportion.
+	fullRateProbers = 6
+	// lingerTimeout is how long calls that are no longer needed may run on, so that their
+	// connections can be reused.
+	lingerTimeout = 250 * time.Millisecond
 )
 
-// query serves one request. Its fields belong to the goroutine of the request;
-// calls report through events.
+// query serves one request. Its fields belong to the request's goroutine; calls report their
+// results through events.
 type query struct {
-	gateway   *Gateway
-	view      *control.View
-	entry     *route.Entry
-	request   *Request
-	trace     *trace
-	objective time.Duration
-	end       time.Time
-	offerBy   time.Time
-	// due is when parts must have come for the answer to be in time.
+	gateway    *Gateway
+	view       *control.View
+	entry      *route.Entry
+	request    *Request
+	trace      *trace
+	objective  time.Duration
+	end        time.Time
+	dispatchBy time.Time
+	// due is when all parts must have arrived for the answer to meet the objective.
 	due    time.Time
 	groups []*group
-	// farRegion is the far region that this query prefers.
+	// farRegion is the preferred region for shards that have no server near this host.
 	farRegion string
 	state     *fanout.Query
 	events    chan event
-	// asleep is for how long the machine has been suspended, woken is closed when that grows.
-	asleep time.Duration
-	woken  <-chan struct{}
-	// stopCalls ends the calls that run.
+	// suspendedFor is the total suspension of the machine that was taken into account; resumed is
+	// closed when the total grows.
+	suspendedFor time.Duration
+	resumed      <-chan struct{}
+	// stopCalls cancels the calls in flight.
 	stopCalls context.CancelFunc
-	// news is closed when some request is barred.
-	news <-chan struct{}
-	// choice decides which scarce shards are asked; leftOut are those that are not now.
+	// barChanged is closed when some request becomes barred.
+	barChanged <-chan struct{}
+	// choice decides which scarce shards are asked; leftOut lists the shards that are currently not
+	// asked.
 	choice  *scarcity.Choice
 	leftOut []int
-	// tried holds the servers that were sent the request, by shard.
+	// tried holds, by shard, the identifiers of the servers that were sent the request.
 	tried [][]string
-	// putOff says by shard why it was not asked when it was last looked at.
-	putOff map[int]string
-	// counted tells by shard that the request counts as a first attempt there.
-	counted []bool
-	// refusals counts what servers refused, all shards together.
+	// skipReasons holds, by shard, why it was not asked when it was last considered.
+	skipReasons map[int]string
+	// firstCounted records, by shard, whether the request was counted as a first attempt.
+	firstCounted []bool
+	// refusals counts the refusals by servers over all shards.
 	refusals int
-	// arrived tells that an attempt reached a server, or may have.
-	arrived bool
-	// mayHaveRun tells that a server failed at the request, or may have run it.
+	// reachedServer reports whether an attempt reached a server, or may have.
+	reachedServer bool
+	// mayHaveRun reports whether a server failed while it had the request and may have run it.
 	mayHaveRun bool
-	// reply is the best reply of a request that is not a query.
+	// reply is the best reply so far to a request that is not a query.
 	reply *Reply
-	// trial is what the query does about servers that end under it.
+	// trial tracks servers that exit while running the request.
 	trial trial
-	// doubt is what the query does about shards whose servers were absent.
-	doubt doubt
-	// failure is the last reason for which an attempt failed, code its kind.
+	// absence tracks shards at whose servers nothing listened.
+	absence absenceCheck
+	// failure is the reason of the last failed attempt and code its cause.
 	failure string
 	code    Code
 }
 
-// event is what one call, direct or through a relay, brought.
+// event holds what one call, direct or relayed, brought.
 type event struct {
 	results []result
 	records []byte
-	// floor is set where smaller records were left out.
+	// floor is set if records smaller than it were omitted.
 	floor []byte
 }
 
-// result is what became of the attempt at one shard.
+// result is the result of one attempt at a shard.
 type result struct {
 	shard     int
 	outcome   relaypb.Outcome
@@ -118,81 +121,82 @@
 	server    string
 	reason    string
 	elapsed   time.Duration
-	// unreachable tells of a call that was not sent that the server could not be reached,
-	// wait of one that would have come too late how long those before it take.
+	// unreachable reports that the request was not sent because the server could not be reached.
+	// wait, if not zero, is the time after which to try a server again that was not sent the
+	// request, because it would have been too late or the server is cold.
 	unreachable bool
-	// absent tells of one that was not sent that nothing listens at the server's address.
+	// absent reports that the request was not sent because nothing listens at the server's address.
 	absent bool
 	wait   time.Duration
-	// load is what the server told of its load, ran how long the request ran there
-	// without its wait; 0 is unknown.
-	load Load
-	ran  time.Duration
-	// ended tells of a call that failed that the server ended with it, brokeOff that only its
-	// connection is known to have ended; barred of one that was not sent that the relay knows
-	// that servers end under the request.
-	ended, brokeOff, barred bool
+	// load is the load that the server reported. runTime is how long the request ran at the server,
+	// without its wait there; 0 is unknown.
+	load    Load
+	runTime time.Duration
+	// serverEnded reports that the call failed and its server exited; connectionLost, that the call
+	// failed and only its connection is known to be gone; barred, that the relay did not send the
+	// request because it knows it to be barred.
+	serverEnded, connectionLost, barred bool
 }
 
-// run makes attempts until the request is answered or its time is up.
+// run makes attempts until the request is answered, refused or timed out.
 func (q *query) run(ctx context.Context) Answer {
-	calls := q.newCalls(ctx)
-	defer q.release(ctx)
+	callCtx := q.newCallContext(ctx)
+	defer q.releaseCalls(ctx)
 	for {
 		now := time.Now()
 		if now.Before(q.end) {
-			q.launch(calls, now)
+			q.launch(callCtx, now)
 		}
 		if q.trial.barred {
 			return q.barredAnswer()
 		}
-		if q.doubt.hopeless() && !q.offered() {
+		if q.absence.insufficient() && !q.dispatched() {
 			return q.absentAnswer(now)
 		}
-		if q.trialFailed() {
-			return Answer{Outcome: Failed, Code: CodeServerFailed, Reason: "servers broke off when they were sent the request alone, after others had ended under it"}
+		if q.trialsExhausted() {
+			return Answer{Outcome: Failed, Code: CodeServerFailed, Reason: "connections broke repeatedly when the request was tried on single servers, after other servers had ended under it"}
 		}
-		if q.state.Finished(now) || q.onlyLeftOut() {
+		if q.state.Finished(now) || q.onlyLeftOutRemain() {
 			return q.answer(now)
 		}
-		if !q.offered() && !now.Before(q.offerBy) {
+		if !q.dispatched() && !now.Before(q.dispatchBy) {
 			return notRun(q.code, q.failure, q.retryAfter())
 		}
-		if left := q.wait(ctx, now); left {
+		if callerLeft := q.awaitEvent(ctx, now); callerLeft {
 			return Answer{Outcome: CallerLeft, Code: CodeCallerLeft, Reason: "the caller closed its connection"}
 		}
-		if calls.Err() != nil {
-			calls = q.newCalls(ctx)
+		if callCtx.Err() != nil {
+			callCtx = q.newCallContext(ctx)
 		}
 	}
 }
 
-// onlyLeftOut reports whether enough shards are in and all others are left out, so that
-// nothing is awaited.
-func (q *query) onlyLeftOut() bool {
+// onlyLeftOutRemain reports whether enough shards are covered and all others were left out, so that
+// there is nothing to wait for.
+func (q *query) onlyLeftOutRemain() bool {
 	return len(q.leftOut) > 0 && q.state.Enough() && !q.running() && len(q.leftOut) == len(q.state.MissingShards())
 }
 
-// newCalls returns the context of the calls that are made from now on, which outlive the
-// query for a moment.
-func (q *query) newCalls(ctx context.Context) context.Context {
-	calls, cancel := context.WithCancel(context.WithoutCancel(ctx))
+// newCallContext returns the context for the calls made from now on. It is independent of ctx, so
+// that calls may outlive the query briefly.
+func (q *query) newCallContext(ctx context.Context) context.Context {
+	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	q.stopCalls = cancel
-	return calls
+	return callCtx
 }
 
-// release ends the calls that still run: at once where the caller has left or servers end
-// under the request, else after a while.
-func (q *query) release(ctx context.Context) {
+// releaseCalls cancels the calls in flight: at once if the caller has left or the request is
+// barred, otherwise after lingerTimeout.
+func (q *query) releaseCalls(ctx context.Context) {
 	if ctx.Err() != nil || !q.running() || q.trial.barred {
 		q.stopCalls()
 		return
 	}
-	time.AfterFunc(lingerTime, q.stopCalls)
+	time.AfterFunc(lingerTimeout, q.stopCalls)
 }
 
-// offered reports whether a server has the request, had it, or is being sent it.
-func (q *query) offered() bool { return q.arrived || q.running() }
+// dispatched reports whether a server has or had the request, or is being sent it.
+func (q *query) dispatched() bool { return q.reachedServer || q.running() }
 
 func (q *query) running() bool {
 	for n := range q.groups {
@@ -203,24 +207,24 @@
 	return false
 }
 
-// wait waits for an event or the next decision, and reports whether the caller
+// awaitEvent waits for an event or the time of the next decision, and reports whether the caller
 // has left.
-func (q *query) wait(ctx context.Context, now time.Time) bool {
+func (q *query) awaitEvent(ctx context.Context, now time.Time) bool {
 	next := q.state.Next(now)
-	if !q.offered() && q.offerBy.Before(next) {
-		next = q.offerBy
+	if !q.dispatched() && q.dispatchBy.Before(next) {
+		next = q.dispatchBy
 	}
 	timer := time.NewTimer(max(next.Sub(now), 0))
 	defer timer.Stop()
 	select {
 	case e := <-q.events:
-		q.take(e)
-		q.takeReady()
-	case <-q.news:
-		q.news = q.gateway.guard.News()
-		q.heardNews()
-	case <-q.woken:
-		q.slept()
+		q.handleEvent(e)
+		q.drainEvents()
+	case <-q.barChanged:
+		q.barChanged = q.gateway.guard.News()
+		q.checkBarred()
+	case <-q.resumed:
+		q.applySuspension()
 	case <-timer.C:
 	case <-ctx.Done():
 		return true
@@ -228,49 +232,49 @@
 	return false
 }
 
-// takeReady takes what has come without waiting.
-func (q *query) takeReady() {
+// drainEvents handles the events that are ready, without waiting.
+func (q *query) drainEvents() {
 	for {
 		select {
 		case e := <-q.events:
-			q.take(e)
+			q.handleEvent(e)
 		default:
 			return
 		}
 	}
 }
 
-func (q *query) take(e event) {
+func (q *query) handleEvent(e event) {
 	block := fanout.Block{Records: e.records, Floor: e.floor}
 	for _, r := range e.results {
-		q.settleDoubt(r)
-		q.arrived = q.arrived || r.outcome != relaypb.Outcome_NOT_SENT
+		q.resolveAbsence(r)
+		q.reachedServer = q.reachedServer || r.outcome != relaypb.Outcome_NOT_SENT
 		switch r.outcome {
 		case relaypb.Outcome_PART:
 			q.state.Ended(r.shard)
 			block.Shards = append(block.Shards, r.shard)
 			block.Signatures = append(block.Signatures, r.signature)
-			q.keep(r)
-			q.served(time.Now())
+			q.keepReply(r)
+			q.noteServed(time.Now())
 		case relaypb.Outcome_NOT_RUN, relaypb.Outcome_NOT_SENT:
-			q.takeRefusal(r)
+			q.handleRefusal(r)
 		default:
-			q.takeFailure(r)
+			q.handleFailure(r)
 		}
 	}
 	if len(block.Shards) > 0 {
-		q.noteCosts(e.results)
+		q.recordCosts(e.results)
 		q.state.Offer(block)
 	}
 }
 
-func (q *query) keep(r result) {
+func (q *query) keepReply(r result) {
 	if r.reply != nil {
 		q.reply = r.reply
 	}
 }
 
-func (q *query) takeRefusal(r result) {
+func (q *query) handleRefusal(r result) {
 	now := time.Now()
 	q.trace.note("shard %d: %s refused after %v: %s", r.shard, r.server, r.elapsed, r.reason)
 	q.failure = r.reason
@@ -285,64 +289,64 @@
 		q.state.Refused(r.shard)
 		q.refusals++
 	}
-	if !q.groups[r.shard].hasOther(q.tried[r.shard], q.entry.Homes, now) {
-		q.lookAgain(r.shard, r.wait, now)
+	if !q.groups[r.shard].hasUntried(q.tried[r.shard], q.entry.Homes, now) {
+		q.scheduleRecheck(r.shard, r.wait, now)
 	}
 	for _, n := range q.leftOut {
-		q.state.Later(n, now) // Another scarce shard may take this one's place.
+		q.state.Later(n, now) // Another scarce shard may replace this one.
 	}
 	q.leftOut = nil
-	if q.refusals >= maxRefusals*len(q.groups) {
+	if q.refusals >= maxRefusalsPerShard*len(q.groups) {
 		q.state.GiveUp(r.shard)
 	}
 }
 
-// lookAgain puts a shard off for which there is no place until those before it have run.
-func (q *query) lookAgain(n int, wait time.Duration, now time.Time) {
+// scheduleRecheck defers a shard whose server has no place until wait has passed, rounded up to the
+// next step.
+func (q *query) scheduleRecheck(n int, wait time.Duration, now time.Time) {
 	if wait == 0 {
-		q.state.Later(n, now.Add(refusalRetry))
+		q.state.Later(n, now.Add(refusalRetryDelay))
 		return
 	}
-	step := lookStep
+	step := recheckStep
 	if !now.Before(q.due) {
-		step = lateLookStep
+		step = lateRecheckStep
 	}
 	steps := now.Add(wait).Sub(q.request.Arrived)/step + 1
 	q.state.Later(n, q.request.Arrived.Add(steps*step))
 }
 
-func (q *query) takeFailure(r result) {
+func (q *query) handleFailure(r result) {
 	q.trace.note("shard %d: %s failed after %v: %s", r.shard, r.server, r.elapsed, r.reason)
 	q.failure = r.reason
 	q.code = CodeServerFailed
 	q.mayHaveRun = true
 	switch {
-	case r.ended:
-		q.serverEnded(r, time.Now())
-	case r.brokeOff:
-		q.brokeOff(r)
+	case r.serverEnded:
+		q.noteServerEnded(r, time.Now())
+	case r.connectionLost:
+		q.noteConnectionLost(r)
 	}
 	q.state.Ended(r.shard)
 	if r.reply != nil {
 		q.reply = r.reply
 	}
-	if !q.entry.Idempotent || r.final() {
+	if !q.entry.Idempotent || r.isFinal() {
 		q.state.GiveUp(r.shard)
 	}
 }
 
-// final reports whether another server would answer alike: the request itself
-// is at fault.
-func (r result) final() bool {
+// isFinal reports whether another server would answer alike because the request itself is invalid.
+func (r result) isFinal() bool {
 	return r.reply != nil && r.reply.Status < http.StatusInternalServerError
 }
 
-// retryAfter is when a caller that was refused should come back.
+// retryAfter returns the time after which a refused caller should retry.
 func (q *query) retryAfter() time.Duration {
-	return max(comeBack, time.Duration(offerShare*float64(q.objective)))
+	return max(minRetryAfter, time.Duration(dispatchShare*float64(q.objective)))
 }
 
-// answer returns what goes to the caller.
+// answer returns the answer of a query that is finished.
 func (q *query) answer(now time.Time) Answer {
 	if q.state.Enough() {
 		return q.success()
@@ -376,29 +380,29 @@
 	return a
 }
 
-// missing names the shards that are not in the answer, each with the servers
-// that were sent the request, or why none was.
-func (q *query) missing() []string {
+// missingShards lists the shards that are not in the answer, each with the servers that were sent
+// the request or the reason why none was.
+func (q *query) missingShards() []string {
 	var names []string
 	for _, n := range q.state.MissingShards() {
-		what := strings.Join(q.tried[n], " ")
-		if what == "" {
-			what = "not asked: " + q.putOff[n]
+		servers := strings.Join(q.tried[n], " ")
+		if servers == "" {
+			servers = "not asked: " + q.skipReasons[n]
 		}
-		names = append(names, q.groups[n].service+": "+what)
+		names = append(names, q.groups[n].service+": "+servers)
 	}
 	return names
 }
 
-// finish notes for the log what the answer depended on.
+// finish reports servers that exited while running the query and completes the trace for the log.
 func (q *query) finish(a Answer) Answer {
-	q.tellEnds(time.Now())
-	q.awaitWitnesses(time.Now())
+	q.reportEnds(time.Now())
+	q.reportBrokenCalls(time.Now())
 	q.trace.limit = q.end.Sub(q.request.Arrived)
 	if q.entry.Query == nil {
 		q.trace.servers = q.tried[0]
 	} else if a.Outcome != Gathered || a.Gathered.Missing > 0 {
-		q.trace.missing = q.missing()
+		q.trace.missing = q.missingShards()
 	}
 	return a
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -15,28 +15,27 @@
 )
 
 const (
-	// laterReplies is how many times more often a relay replies after the soft
-	// timeout than before it.
-	laterReplies = 4
-	// leastReplyGap is the least time between two replies, so that parts that
-	// come close together are merged.
-	leastReplyGap = 4 * time.Millisecond
-	// refusalGap is for how long the calls that brought nothing are collected before
-	// they are told. The other host can try another server at once: told with the
-	// parts they came after the soft timeout, a third of the objective later.
-	refusalGap = time.Millisecond
-	// relaySlotTries is how often a relay looks for a slot, each slotRetry, before it
-	// says that the server is busy: for less time than the way to another region and
-	// back, after which the other host would ask again.
-	relaySlotTries = 4
+	// laterReplyFactor is how many times more often a relay replies after the soft timeout than
+	// before it.
+	laterReplyFactor = 4
+	// minReplyInterval is the minimum interval between replies, so that parts that arrive close
+	// together are merged.
+	minReplyInterval = 4 * time.Millisecond
+	// refusalReplyDelay is how long failed calls are collected before they are reported. It is
+	// short because the requesting host can try another server at once.
+	refusalReplyDelay = time.Millisecond
+	// maxSlotRetries is how often a relay tries again to obtain a slot, at intervals of
+	// slotRetryDelay, before it reports the server as busy. The total is less than a round trip to
+	// another region, after which the requesting host would retry.
+	maxSlotRetries = 4
 )
 
-var errSuspended = errors.New("the time of the call was over while this machine was suspended")
+var errSuspended = errors.New("the call timed out while this machine was suspended")
 
-// Gather implements the relay protocol: it calls the servers named and merges
-// their parts. It chooses nothing and repeats nothing.
+// Gather implements the relay protocol. It calls the named servers and merges their parts; it
+// neither chooses servers nor repeats calls.
 func (g *Gateway) Gather(m *relaypb.GatherRequest, stream relaypb.DRPCRelay_GatherStream) error {
-	return g.contain("a request of a peer", m.GetRequestId(), func() error { return g.gather(m, stream) })
+	return g.recoverPanic("gather request of a peer", m.GetRequestId(), func() error { return g.gather(m, stream) })
 }
 
 func (g *Gateway) gather(m *relaypb.GatherRequest, stream relaypb.DRPCRelay_GatherStream) error {
@@ -47,45 +46,45 @@
 	if err := unpackRequest(m); err != nil {
 		return err
 	}
-	r := requestOf(m)
-	results := make(chan indexed, len(m.GetServerIds()))
+	request := requestFromPeer(m)
+	results := make(chan indexedResult, len(m.GetServerIds()))
 	timeout := time.Duration(m.GetTimeoutUs()) * time.Microsecond
-	due := dueOf(m)
-	barred := !m.GetTrial() && g.bars(r)
-	calls, stopCalls := context.WithCancel(ctx)
+	due := dueFromRequest(m)
+	barred := !m.GetTrial() && g.isBarred(request)
+	callCtx, stopCalls := context.WithCancel(ctx)
 	defer stopCalls()
 	for i, id := range m.GetServerIds() {
 		if barred {
-			results <- indexed{i, result{outcome: relaypb.Outcome_NOT_SENT, barred: true, reason: "servers end under the request, as this host knows"}}
+			results <- indexedResult{i, result{outcome: relaypb.Outcome_NOT_SENT, barred: true, reason: "the relay knows the request to be barred: servers end under it"}}
 			continue
 		}
-		if m.GetDueUs() > 0 && !slices.Contains(m.GetKnownSlow(), uint32(i)) && g.reports.isSlow(id) {
-			results <- indexed{i, result{outcome: relaypb.Outcome_NOT_SENT, reason: "the server is slow, which the caller did not know"}}
+		if m.GetDueUs() > 0 && !slices.Contains(m.GetKnownSlow(), uint32(i)) && g.slowReports.isSlow(id) {
+			results <- indexedResult{i, result{outcome: relaypb.Outcome_NOT_SENT, reason: "the relay knows the server to be slow, and the requesting host did not"}}
 			continue
 		}
 		go func() {
-			results <- indexed{i, g.relayOne(calls, id, r, timeout, due, m.GetWhole() && !m.GetRepeatable())}
+			results <- indexedResult{i, g.callForPeer(callCtx, id, request, timeout, due, m.GetWhole() && !m.GetRepeatable())}
 		}()
 	}
 	started := time.Now()
-	var seen relaySuspicion
-	var all []*relaypb.CallResult
-	defer func() { g.logGather(m, all, time.Since(started)) }()
-	gathered := &gathering{trimmer: fanout.NewTrimmer(int(m.GetTop()), m.GetFloor()), open: len(m.GetServerIds()), packs: m.GetPacks(), whole: m.GetWhole()}
-	wait := time.Duration(m.GetSoftTimeoutUs()) * time.Microsecond
-	soft := time.NewTimer(wait)
-	defer soft.Stop()
+	var suspicion relaySuspicion
+	var allResults []*relaypb.CallResult
+	defer func() { g.logGather(m, allResults, time.Since(started)) }()
+	gathered := &gathering{trimmer: fanout.NewTrimmer(int(m.GetTop()), m.GetFloor()), pending: len(m.GetServerIds()), packs: m.GetPacks(), whole: m.GetWhole()}
+	softTimeout := time.Duration(m.GetSoftTimeoutUs()) * time.Microsecond
+	softTimer := time.NewTimer(softTimeout)
+	defer softTimer.Stop()
 	var refusals <-chan time.Time
-	asleep, woken := g.sleep.now()
-	for gathered.open > 0 {
+	suspendedFor, resumed := g.suspensions.current()
+	for gathered.pending > 0 {
 		select {
-		case one := <-results:
-			all = append(all, gathered.add(one))
-			if seen.takes(one.result, time.Now()) {
+		case r := <-results:
+			allResults = append(allResults, gathered.add(r))
+			if suspicion.noteResult(r.result, time.Now()) {
 				stopCalls()
 			}
 			if len(gathered.refused) == 1 {
-				refusals = time.After(refusalGap)
+				refusals = time.After(refusalReplyDelay)
 			}
 		case <-refusals:
 			if len(gathered.refused) == 0 {
@@ -94,19 +93,19 @@
 			if err := stream.Send(g.withReport(gathered.flushRefused())); err != nil {
 				return err
 			}
-		case <-soft.C:
-			soft.Reset(max(wait/laterReplies, leastReplyGap))
-			if !gathered.worthTelling() {
+		case <-softTimer.C:
+			softTimer.Reset(max(softTimeout/laterReplyFactor, minReplyInterval))
+			if !gathered.replyDue() {
 				continue
 			}
 			if err := stream.Send(g.withReport(gathered.flush(false))); err != nil {
 				return err
 			}
-		case <-woken:
+		case <-resumed:
 			var total time.Duration
-			total, woken = g.sleep.now()
-			if time.Since(started)+total-asleep >= timeout {
-				return errSuspended // The other host has given up long ago.
+			total, resumed = g.suspensions.current()
+			if time.Since(started)+total-suspendedFor >= timeout {
+				return errSuspended // The requesting host has already given up.
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -115,112 +114,112 @@
 	return stream.Send(g.withReport(gathered.flush(true)))
 }
 
-// withReport adds to a reply what is known of the servers near this host.
+// withReport adds the state of the servers near this host to a reply.
 func (g *Gateway) withReport(reply *relaypb.GatherReply) *relaypb.GatherReply {
 	now := time.Now()
-	reply.Slow = g.reports.report(g.control.View().Table, now)
-	reply.Vouches = now.Sub(g.started) >= vouchAfter
+	reply.Slow = g.slowReports.current(g.control.View().Table, now)
+	reply.Vouches = now.Sub(g.started) >= reportWarmup
 	return reply
 }
 
-// bars reports whether a request is barred, as far as this host knows.
-func (g *Gateway) bars(r *Request) bool {
+// isBarred reports whether this host knows the request to be barred.
+func (g *Gateway) isBarred(r *Request) bool {
 	return g.guard.Active() && g.guard.Standing(fingerprint(r)) == quarantine.Barred
 }
 
-// relaySuspicion is what a relay knows of servers that ended under the request that it passes
-// on. It does not see those that served it elsewhere, so that it stops its own calls at most.
+// relaySuspicion tracks servers that exited while running a relayed request. The relay does not see
+// servers that ran the request elsewhere, so it only stops its own calls.
 type relaySuspicion struct{ quarantine.Suspicion }
 
-// takes takes a result in, and reports whether the calls that still run are to be stopped.
-func (s *relaySuspicion) takes(r result, now time.Time) bool {
+// noteResult records a result and reports whether the calls in flight must be stopped.
+func (s *relaySuspicion) noteResult(r result, now time.Time) bool {
 	if r.outcome == relaypb.Outcome_PART {
 		s.Served()
 	}
-	if !r.ended {
+	if !r.serverEnded {
 		return false
 	}
 	stop, _ := s.Ended(quarantine.End{Server: r.server}, now)
 	return stop
 }
 
-type indexed struct {
+type indexedResult struct {
 	index  int
 	result result
 }
 
-// gathering merges results until they are sent.
+// gathering merges results between replies.
 type gathering struct {
 	trimmer *fanout.Trimmer
-	open    int
-	// packs tells that the receiver understands packed lists.
+	pending int
+	// packs reports whether the receiver understands packed lists.
 	packs bool
-	// whole tells that replies are wanted as they are.
+	// whole reports whether replies are returned whole instead of merged.
 	whole bool
-	// told tells that a reply was due before.
-	told    bool
+	// replied reports whether a soft timeout has passed before.
+	replied bool
 	results []*relaypb.CallResult
-	// refused are the results of calls that brought no part.
+	// refused holds the results of calls that brought no part.
 	refused []*relaypb.CallResult
 	parts   [][]byte
 }
 
-func (w *gathering) add(one indexed) *relaypb.CallResult {
-	w.open--
-	r := one.result
+func (g *gathering) add(indexed indexedResult) *relaypb.CallResult {
+	g.pending--
+	r := indexed.result
 	result := &relaypb.CallResult{
-		Index: uint32(one.index), Outcome: r.outcome, Signature: r.signature,
+		Index: uint32(indexed.index), Outcome: r.outcome, Signature: r.signature,
 		ElapsedUs: uint64(r.elapsed.Microseconds()), Reason: r.reason, Waiting: uint32(r.load.Waiting),
-		SlownessPercent: uint32(math.Round(100 * r.load.Slowness)), Unreachable: r.unreachable, ServerEnded: r.ended, BrokeOff: r.brokeOff, Barred: r.barred, Absent: r.absent, WaitUs: uint64(r.wait.Microseconds()),
+		SlownessPercent: uint32(math.Round(100 * r.load.Slowness)), Unreachable: r.unreachable, ServerEnded: r.serverEnded, BrokeOff: r.connectionLost, Barred: r.barred, Absent: r.absent, WaitUs: uint64(r.wait.Microseconds()),
 	}
-	if w.whole && r.reply != nil {
+	if g.whole && r.reply != nil {
 		result.Reply = encodeReply(r.reply)
 	}
 	if r.outcome != relaypb.Outcome_PART {
-		w.refused = append(w.refused, result)
+		g.refused = append(g.refused, result)
 		return result
 	}
-	w.results = append(w.results, result)
-	if !w.whole {
-		w.parts = append(w.parts, r.reply.Body)
+	g.results = append(g.results, result)
+	if !g.whole {
+		g.parts = append(g.parts, r.reply.Body)
 	}
 	return result
 }
 
-// flushRefused returns the calls that brought nothing since the last flush.
-func (w *gathering) flushRefused() *relaypb.GatherReply {
-	reply := &relaypb.GatherReply{Results: w.refused}
-	w.refused = nil
+// flushRefused returns the results without a part since the last flush.
+func (g *gathering) flushRefused() *relaypb.GatherReply {
+	reply := &relaypb.GatherReply{Results: g.refused}
+	g.refused = nil
 	return reply
 }
 
-// worthTelling reports whether a reply is due at a soft timeout: where parts have come, and
-// once while a whole reply is awaited, so that the other host hears that this one is there.
-func (w *gathering) worthTelling() bool {
-	if w.open == 0 {
+// replyDue reports whether to reply at a soft timeout: if parts have arrived, and once while whole
+// replies are pending, so that the requesting host knows that this host is alive.
+func (g *gathering) replyDue() bool {
+	if g.pending == 0 {
 		return false
 	}
-	first := w.whole && !w.told
-	w.told = true
-	return len(w.results) > 0 || first
+	first := g.whole && !g.replied
+	g.replied = true
+	return len(g.results) > 0 || first
 }
 
-// flush returns what was gathered since the last flush.
-func (w *gathering) flush(last bool) *relaypb.GatherReply {
-	records, floor := w.trimmer.Batch(w.parts...)
-	reply := &relaypb.GatherReply{Results: append(w.results, w.refused...), Records: records, Floor: floor, Last: last}
-	if w.packs {
+// flush returns everything gathered since the last flush.
+func (g *gathering) flush(last bool) *relaypb.GatherReply {
+	records, floor := g.trimmer.Batch(g.parts...)
+	reply := &relaypb.GatherReply{Results: append(g.results, g.refused...), Records: records, Floor: floor, Last: last}
+	if g.packs {
 		packReply(reply)
 	}
-	w.results = nil
-	w.refused = nil
-	w.parts = nil
+	g.results = nil
+	g.refused = nil
+	g.parts = nil
 	return reply
 }
 
-// dueOf returns when the parts that a peer asks for are wanted. One of the version before
-// does not tell: its calls are never too late.
-func dueOf(m *relaypb.GatherRequest) replica.Due {
+// dueFromRequest returns when a peer needs the parts. Peers of the previous version do not say; for
+// them no call is too late.
+func dueFromRequest(m *relaypb.GatherRequest) replica.Due {
 	if m.GetDueUs() == 0 {
 		return replica.Due{Objective: time.Hour, Left: time.Hour}
 	}
@@ -230,13 +229,13 @@
 	}
 }
 
-// relayOne calls one server for a peer, for which the part is due after a time.
-func (g *Gateway) relayOne(ctx context.Context, id string, r *Request, timeout time.Duration, due replica.Due, fresh bool) result {
-	b, servers := g.serverOf(id)
+// callForPeer calls one server for a peer.
+func (g *Gateway) callForPeer(ctx context.Context, id string, r *Request, timeout time.Duration, due replica.Due, freshConn bool) result {
+	b, servers := g.findServer(id)
 	if b == nil {
 		return result{outcome: relaypb.Outcome_NOT_SENT, reason: "the relay does not know the server"}
 	}
-	c, err := servers.takeSoon(ctx, b, due)
+	c, err := servers.takeSlotWithRetry(ctx, b, due)
 	if err != nil {
 		out := result{outcome: relaypb.Outcome_NOT_SENT, reason: err.Error()}
 		var late *tooLateError
@@ -252,24 +251,24 @@
 		}
 		return out
 	}
-	return g.callServer(ctx, c, r, timeout, fresh)
+	return g.callServer(ctx, c, r, timeout, freshConn)
 }
 
-// takeSoon takes a slot of a server, and looks again for a moment where none is
-// free. It does not wait in a line: what is handed to one server early is served
-// later than what goes to the first that is free.
-func (g *group) takeSoon(ctx context.Context, b *backend, due replica.Due) (*call, error) {
-	c, err := g.take(b, due, time.Now())
-	for tries := 0; errors.Is(err, errNoSlot) && tries < relaySlotTries; tries++ {
-		pause.For(ctx, slotRetry)
-		due.Left -= slotRetry
-		c, err = g.take(b, due, time.Now())
+// takeSlotWithRetry takes a slot on a server, retrying a few times if none is free. It polls
+// instead of queueing, because a request that is committed to one server early completes later than
+// one sent to the first server that becomes free.
+func (g *group) takeSlotWithRetry(ctx context.Context, b *backend, due replica.Due) (*call, error) {
+	c, err := g.takeSlot(b, due, time.Now())
+	for retries := 0; errors.Is(err, errNoSlot) && retries < maxSlotRetries; retries++ {
+		pause.For(ctx, slotRetryDelay)
+		due.Left -= slotRetryDelay
+		c, err = g.takeSlot(b, due, time.Now())
 	}
 	return c, err
 }
 
-// requestOf returns the request that a peer passes on.
-func requestOf(m *relaypb.GatherRequest) *Request {
+// requestFromPeer returns the request that a peer relays.
+func requestFromPeer(m *relaypb.GatherRequest) *Request {
 	now := time.Now()
 	r := &Request{
 		ID: m.GetRequestId(), Method: m.GetMethod(), Host: m.GetHost(), Target: m.GetTarget(), Body: m.GetBody(),
--- a/internal/gateway/relaywire.go
+++ b/internal/gateway/relaywire.go
@@ -9,12 +9,11 @@
 	"github.com/mallowgap/mallowgap/internal/packing"
 )
 
-// The lists of identifiers and signatures are most of what goes between hosts
-// for a query. They are packed where the other host understands it, so that
-// hosts of two versions can work together.
+// Lists of server identifiers and signatures make up most of the traffic between hosts. They are
+// packed only if the receiver supports it, so that hosts of two versions interoperate.
 
-// errSignatureCount says that the packed signatures are not those of the parts.
-var errSignatureCount = errors.New("the number of packed signatures is not that of the parts")
+// errSignatureCount reports packed signatures that do not match the parts.
+var errSignatureCount = errors.New("the number of packed signatures differs from the number of parts")
 
 func encodeHeader(header http.Header) []*relaypb.Header {
 	var encoded []*relaypb.Header
@@ -42,7 +41,7 @@
 	return &Reply{Status: int(r.GetStatus()), Header: decodeHeader(r.GetHeaders()), Body: r.GetBody(), Signature: signature}
 }
 
-// setServerIDs names the servers of a request.
+// setServerIDs sets the servers of a request, packed if packs is set and packing is possible.
 func setServerIDs(m *relaypb.GatherRequest, ids []string, packs bool) {
 	if packs {
 		m.PackedServerIds = packing.Pack(ids)
@@ -52,20 +51,20 @@
 	}
 }
 
-// unpackRequest puts the plain list in place of the packed one.
+// unpackRequest replaces the packed list of servers by the plain one.
 func unpackRequest(m *relaypb.GatherRequest) error {
 	if m.PackedServerIds == nil {
 		return nil
 	}
 	ids, err := packing.Unpack(m.GetPackedServerIds())
 	if err != nil {
-		return fmt.Errorf("servers of the request %s: %w", m.GetRequestId(), err)
+		return fmt.Errorf("servers in the relayed request %s: %w", m.GetRequestId(), err)
 	}
 	m.ServerIds, m.PackedServerIds = ids, nil
 	return nil
 }
 
-// packReply packs the signatures of a reply.
+// packReply packs the signatures of a reply, if possible.
 func packReply(reply *relaypb.GatherReply) {
 	var signatures []string
 	for _, r := range reply.GetResults() {
@@ -81,14 +80,14 @@
 	}
 }
 
-// unpackReply gives the parts of a reply their signatures.
+// unpackReply restores the signatures of the parts of a reply.
 func unpackReply(reply *relaypb.GatherReply) error {
 	if reply.PackedSignatures == nil {
 		return nil
 	}
 	signatures, err := packing.Unpack(reply.GetPackedSignatures())
 	if err != nil {
-		return fmt.Errorf("signatures of a relay's reply: %w", err)
+		return fmt.Errorf("signatures in the reply of a relay: %w", err)
 	}
 	for _, r := range reply.GetResults() {
 		if r.GetOutcome() != relaypb.Outcome_PART {
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -11,43 +11,43 @@
 	"github.com/mallowgap/mallowgap/internal/obs"
 )
 
-// requestLog writes a line for each request, bounded in number.
+// requestLog writes rate-limited log lines about requests and servers. Requests that were not
+// served completely and in time are limited separately.
 type requestLog struct {
 	good, bad zerolog.Logger
-	// servers is for what is believed of servers.
+	// servers logs changes in the state of servers.
 	servers zerolog.Logger
 }
 
-// serverLinesPerSecond bounds the lines of one process about servers that are slow,
-// failed or moved.
+// serverLinesPerSecond limits the log lines of one process about servers.
 const serverLinesPerSecond = 10
 
 func newRequestLog(log zerolog.Logger, perSecond int) *requestLog {
 	return &requestLog{good: obs.Bounded(log, perSecond), bad: obs.Bounded(log, perSecond), servers: obs.Bounded(log, serverLinesPerSecond)}
 }
 
-// maxNotes bounds the notes of one request's line.
+// maxNotes limits the notes in the log line of one request.
 const maxNotes = 24
 
-// trace collects what decided about one request, for its line in the log. Only
-// the goroutine of the request writes to it.
+// trace collects the decisions about one request for its log line. Only the goroutine of the
+// request may use it.
 type trace struct {
 	first, retries, hedges, denied int
 	relayed                        int
-	// rank is that of the route; 0 is the highest.
+	// rank is the rank of the route; 0 is the highest.
 	rank uint32
-	// wait is how long a request was expected to wait at the servers, chance that
-	// with which it was let in for that.
+	// wait is the expected wait at the servers and chance the probability of admission that
+	// resulted.
 	wait   time.Duration
 	chance float64
-	// limit is for how long the request could be worked on.
+	// limit is how long the query could take from its arrival.
 	limit time.Duration
-	// servers are those that were sent a request that is not a query.
+	// servers lists the servers that were sent a request that is not a query.
 	servers []string
-	// missing names the shards that are not in the answer, with the servers
-	// that were sent the request.
+	// missing lists the shards that are not in the answer, with the servers that were sent the
+	// request.
 	missing []string
-	// fingerprint is that of a request under which servers ended; empty for any other.
+	// fingerprint is the fingerprint of a request that made servers exit; empty for others.
 	fingerprint string
 	notes       []string
 	dropped     int
@@ -61,9 +61,9 @@
 	t.notes = append(t.notes, fmt.Sprintf(format, args...))
 }
 
-// logGather writes the line of a relay's work for a peer.
+// logGather logs the calls that this host made for a peer.
 func (g *Gateway) logGather(m *relaypb.GatherRequest, results []*relaypb.CallResult, elapsed time.Duration) {
-	log := &g.requests.good
+	log := &g.requestLog.good
 	var notes []string
 	for _, r := range results {
 		if r.GetOutcome() != relaypb.Outcome_PART && len(notes) < maxNotes {
@@ -71,16 +71,16 @@
 		}
 	}
 	if len(notes) > 0 || len(results) < len(m.GetServerIds()) {
-		log = &g.requests.bad
+		log = &g.requestLog.bad
 	}
 	log.Info().Str("request", m.GetRequestId()).Int("calls", len(m.GetServerIds())).Int("ended", len(results)).Strs("notes", notes).Dur("elapsed", elapsed).Msg("relayed calls")
 }
 
 func (g *Gateway) logRequest(r *Request, v *control.View, routeName string, a Answer, t *trace, elapsed, objective time.Duration) {
 	good := (a.Outcome == Forwarded && a.Reply.OK() || a.Outcome == Gathered && a.Gathered.Missing == 0) && elapsed <= objective
-	log := &g.requests.bad
+	log := &g.requestLog.bad
 	if good {
-		log = &g.requests.good
+		log = &g.requestLog.good
 	}
 	e := log.Info()
 	if e == nil {
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -166,7 +166,7 @@
 	config.Routes = append(config.Routes, config.Routes[0])
 	config.Routes[3].Name, config.Routes[3].Prefix, config.Routes[3].Query = "others", "/others/", &others
 	inWorld(t, config, serversOf(shardNames(6), "b1", "c1"), hosts, func(w *world) {
-		time.Sleep(vouchAfter)
+		time.Sleep(reportWarmup)
 		w.leafs.set("shard0@b1", serve("shard0@b1", 150*time.Millisecond))
 		for range 30 {
 			w.ask("a0", "/q/x")
@@ -208,7 +208,7 @@
 		var log strings.Builder
 		w.log = zerolog.New(zerolog.SyncWriter(&log)).With().Timestamp().Str("host", "late").Logger()
 		w.startOn(late, w.store)
-		time.Sleep(vouchAfter)
+		time.Sleep(reportWarmup)
 		w.leafs.set("shard0@b1", serve("shard0@b1", 300*time.Millisecond))
 		for range 20 {
 			w.ask("a0", "/q/x")
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -19,37 +19,36 @@
 )
 
 const (
-	// bodyTimeout bounds the reading of one request with its body.
+	// bodyTimeout limits the time to read one request, including its body.
 	bodyTimeout = 30 * time.Second
-	// idleLongest bounds the idle time of a caller's connection where the
-	// configuration gives none.
-	idleLongest = 5 * time.Minute
-	// sweepEvery is the interval at which idle connections are looked at.
-	sweepEvery = time.Second
-	// closeTime is kept at the end of a planned stop for closing.
-	closeTime = 300 * time.Millisecond
+	// maxIdleTime limits the idle time of a caller's connection if the configuration sets no limit.
+	maxIdleTime = 5 * time.Minute
+	// idleSweepInterval is the interval between checks for idle connections.
+	idleSweepInterval = time.Second
+	// closeTimeout limits the time to close the remaining listeners at the end of a planned stop.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// ErrCut is returned by Run when a planned stop cut requests off.
+// ErrCut is returned by Run if a planned stop aborted requests that were in flight.
 var ErrCut = errors.New("requests were cut off: raise drain_timeout in [shutdown]")
 
-// Handlers are the HTTP handlers of the platform's adapter.
+// Handlers are the HTTP handlers and the periodic task of the platform adapter.
 type Handlers struct {
 	Callers, Ready http.Handler
-	// Sweep is called every second, to close what is idle for too long.
+	// Sweep is called every second to close connections that have been idle for too long.
 	Sweep func(now time.Time)
 }
 
-// servers are the listeners of a gateway.
-type servers struct {
+// endpoints holds the servers and listeners of a gateway.
+type endpoints struct {
 	callers, ready, metrics *http.Server
 	peers                   *drpcserver.Server
 	listeners               map[string]net.Listener
 	idle                    *idleConns
 }
 
-// Run serves until stop is closed, then stops as planned. It returns ErrCut
-// where requests were cut off.
+// Run serves until stop is closed and then performs a planned stop. It returns ErrCut if that
+// aborted requests in flight.
 func (g *Gateway) Run(stop <-chan struct{}, h Handlers) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -61,26 +60,25 @@
 	peerCtx, stopPeers := context.WithCancel(ctx)
 	defer stopPeers()
 	s.serve(peerCtx)
-	go g.sweep(ctx, s, h.Sweep)
+	go g.sweepIdle(ctx, s, h.Sweep)
 	g.log.Info().Str("domain", g.self.GetDomain()).Str("callers", g.settings.GetListen().GetCallers()).Msg("gateway started")
 	<-stop
 	g.log.Info().Int("in_flight", g.InFlight()).Msg("planned stop begins")
 	g.Leave(ctx)
 	pause.For(ctx, g.settings.GetShutdown().GetBalancerLag().AsDuration())
-	return g.finish(s)
+	return g.shutDown(s)
 }
 
-// finish takes no more connections, waits for the requests in flight and
-// closes.
-func (g *Gateway) finish(s *servers) error {
+// shutDown stops accepting connections, waits for the requests in flight and closes the gateway.
+func (g *Gateway) shutDown(s *endpoints) error {
 	shutdown := g.settings.GetShutdown()
 	ctx, cancel := context.WithTimeout(context.Background(), shutdown.GetDrainTimeout().AsDuration())
 	defer cancel()
 	if err := s.callers.Shutdown(ctx); err != nil {
-		g.log.Warn().Err(err).Msg("connections of callers are still in use at the end of the planned stop")
+		g.log.Warn().Err(err).Msg("connections of callers are still in use after drain_timeout")
 	}
 	cut := g.Drained(ctx)
-	closeCtx, cancelClose := context.WithTimeout(context.Background(), closeTime)
+	closeCtx, cancelClose := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancelClose()
 	_ = s.ready.Shutdown(closeCtx)
 	g.Close()
@@ -91,9 +89,9 @@
 	return nil
 }
 
-func (g *Gateway) listen(h Handlers) (*servers, error) {
+func (g *Gateway) listen(h Handlers) (*endpoints, error) {
 	l := g.settings.GetListen()
-	s := &servers{listeners: map[string]net.Listener{}, idle: &idleConns{since: map[net.Conn]time.Time{}}}
+	s := &endpoints{listeners: map[string]net.Listener{}, idle: &idleConns{since: map[net.Conn]time.Time{}}}
 	for key, address := range map[string]string{"callers": l.GetCallers(), "ready": l.GetReady(), "peers": l.GetPeers(), "metrics": l.GetMetrics()} {
 		if address == "" {
 			continue
@@ -106,7 +104,7 @@
 	}
 	s.callers = &http.Server{
 		Handler: h.Callers, ReadHeaderTimeout: l.GetHeaderTimeout().AsDuration(), ReadTimeout: bodyTimeout,
-		IdleTimeout: idleLongest, ConnState: s.idle.changed,
+		IdleTimeout: maxIdleTime, ConnState: s.idle.stateChanged,
 	}
 	s.ready = &http.Server{Handler: h.Ready, ReadHeaderTimeout: l.GetHeaderTimeout().AsDuration()}
 	s.metrics = &http.Server{Handler: metricsHandler(), ReadHeaderTimeout: l.GetHeaderTimeout().AsDuration()}
@@ -127,7 +125,7 @@
 	return e
 }
 
-func (s *servers) serve(ctx context.Context) {
+func (s *endpoints) serve(ctx context.Context) {
 	for key, server := range map[string]*http.Server{"callers": s.callers, "ready": s.ready, "metrics": s.metrics} {
 		if listener := s.listeners[key]; listener != nil {
 			go func() { _ = server.Serve(listener) }()
@@ -136,27 +134,26 @@
 	go func() { _ = s.peers.Serve(ctx, s.listeners["peers"]) }()
 }
 
-// sweep closes connections that were idle for too long.
-func (g *Gateway) sweep(ctx context.Context, s *servers, edges func(now time.Time)) {
+// sweepIdle closes connections that have been idle for too long until ctx is done.
+func (g *Gateway) sweepIdle(ctx context.Context, s *endpoints, sweepEdges func(now time.Time)) {
 	for ctx.Err() == nil {
-		pause.For(ctx, sweepEvery)
+		pause.For(ctx, idleSweepInterval)
 		now := time.Now()
-		edges(now)
+		sweepEdges(now)
 		if table := g.control.View().Table; table != nil && table.Limits().IdleTimeout > 0 {
-			s.idle.closeOlder(now.Add(-table.Limits().IdleTimeout))
+			s.idle.closeIdleBefore(now.Add(-table.Limits().IdleTimeout))
 		}
 	}
 }
 
-// idleConns knows which connections of callers are idle. The limit comes from
-// the configuration and changes with it, so that http.Server's own cannot be
-// used.
+// idleConns tracks the idle connections of callers. http.Server.IdleTimeout cannot be used because
+// the limit changes with the configuration.
 type idleConns struct {
 	mu    sync.Mutex
 	since map[net.Conn]time.Time
 }
 
-func (i *idleConns) changed(c net.Conn, state http.ConnState) {
+func (i *idleConns) stateChanged(c net.Conn, state http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if state == http.StateIdle {
@@ -166,11 +163,11 @@
 	}
 }
 
-func (i *idleConns) closeOlder(than time.Time) {
+func (i *idleConns) closeIdleBefore(idleBefore time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for c, since := range i.since {
-		if since.Before(than) {
+		if since.Before(idleBefore) {
 			_ = c.Close()
 			delete(i.since, c)
 		}
--- a/internal/gateway/sleep.go
+++ b/internal/gateway/sleep.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// sleep counts the time for which the machine was suspended, which the steady clock does not
-// count: requests in hand have that much less time left. It is safe for concurrent use.
-type sleep struct {
+// suspensions counts how long the machine was suspended. The monotonic clock does not include this
+// time, so the deadlines of requests in flight are moved earlier by it. It is safe for concurrent
+// use.
+type suspensions struct {
 	mu    sync.Mutex
 	total time.Duration
-	// more is closed, and made anew, when the total grows.
-	more chan struct{}
+	// changed is closed and replaced when the total grows.
+	changed chan struct{}
 }
 
-func newSleep() *sleep { return &sleep{more: make(chan struct{})} }
+func newSuspensions() *suspensions { return &suspensions{changed: make(chan struct{})} }
 
-func (s *sleep) add(d time.Duration) {
+func (s *suspensions) add(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.total += d
-	close(s.more)
-	s.more = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// now returns the total, and what is closed when it grows.
-func (s *sleep) now() (total time.Duration, more <-chan struct{}) {
+// current returns the total and a channel that is closed when it grows.
+func (s *suspensions) current() (total time.Duration, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total, s.more
+	return s.total, s.changed
 }
 
-// slept makes a query as much older as the machine was suspended. A caller that waited for 2 s
-// through a suspension of 5 s is gone: without this its query went on for the rest of its two.
-func (q *query) slept() {
-	before := q.asleep
-	q.asleep, q.woken = q.gateway.sleep.now()
-	d := q.asleep - before
-	q.end, q.due, q.offerBy = q.end.Add(-d), q.due.Add(-d), q.offerBy.Add(-d)
-	q.state.Slept(d)
-	q.trace.note("the machine was suspended for %v", d)
+// applySuspension moves the deadlines of a query earlier by the time for which the machine was
+// suspended, during which the caller's timeout went on.
+func (q *query) applySuspension() {
+	before := q.suspendedFor
+	q.suspendedFor, q.resumed = q.gateway.suspensions.current()
+	added := q.suspendedFor - before
+	q.end, q.due, q.dispatchBy = q.end.Add(-added), q.due.Add(-added), q.dispatchBy.Add(-added)
+	q.state.Slept(added)
+	q.trace.note("the machine was suspended for %v", added)
 }
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -107,7 +107,7 @@
 		time.Sleep(110 * time.Millisecond)
 		began := time.Now()
 		assert.Equal(w.t, w.hosts["host1"].Serve(context.Background(), w.newRequest("/q/x")).Outcome, Gathered)
-		assert.Assert(w.t, time.Since(began) <= startWait+2*leafTime, "%v", time.Since(began))
+		assert.Assert(w.t, time.Since(began) <= startupWait+2*leafTime, "%v", time.Since(began))
 		synctest.Wait()
 	})
 }
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -13,52 +13,53 @@
 )
 
 const (
-	// trialStep is how often attempts that wait for a trial are looked at again where nothing
-	// happens before.
-	trialStep = 20 * time.Millisecond
-	// mostTrials is the number of trials of one query that may fail without it being known that
-	// the server ended: a lost answer is no reason to give up, three in a row on trial are.
-	mostTrials = 3
-	// barredRetryAfter is when a caller whose request is barred may come back: before the
-	// first probation is over nothing changes but by hand.
+	// trialPollInterval is the interval at which attempts that wait for a trial are considered
+	// again.
+	trialPollInterval = 20 * time.Millisecond
+	// maxFailedTrials is the number of failed trials after which a query ends although no server is
+	// known to have exited. A single lost reply is not sufficient.
+	maxFailedTrials = 3
+	// barredRetryAfter is when a caller whose request is barred may retry: before the first
+	// probation ends, only an operator can clear the request.
 	barredRetryAfter = quarantine.FirstProbation
 )
 
 // trialsBegun counts trials of barred requests.
 var trialsBegun = metrics.GetOrCreateCounter("mallowgap_quarantine_trials_total")
 
-// trial is what a query does about servers that end under it.
+// trial is the quarantine state of one query.
 type trial struct {
 	quarantine.Suspicion
-	// print is the fingerprint of its request, once hasPrint.
-	print    quarantine.Fingerprint
-	hasPrint bool
-	// probation tells that the request is barred and this query is its claimed trial.
+	// fingerprint identifies the content of the request; valid if hasFingerprint is set.
+	fingerprint    quarantine.Fingerprint
+	hasFingerprint bool
+	// probation reports that the request is barred and this query claimed its trial.
 	probation bool
-	// barred tells that the request is barred: the query ends.
+	// barred reports that the request is barred, so that the query must end.
 	barred bool
-	// shard is the one on trial, or -1; servers are those that the query was tried on.
+	// shard is the shard on trial, or -1. servers lists the servers that the query was sent to on
+	// trial.
 	shard   int
 	servers []string
-	// broken are calls that broke off without it being known that their servers ended; failed
-	// is the number of those on trial.
-	broken []quarantine.End
-	failed int
-	// held are the shards whose attempts wait until a server has served the query.
-	held []int
+	// brokenCalls lists lost connections whose servers are not known to have exited; failedTrials
+	// counts those on trial.
+	brokenCalls  []quarantine.End
+	failedTrials int
+	// heldShards lists the shards whose attempts wait until a server has served the query.
+	heldShards []int
 }
 
-// fingerprint returns that of the query's request.
+// fingerprint returns the fingerprint of the request, computing it at most once.
 func (q *query) fingerprint() quarantine.Fingerprint {
-	if !q.trial.hasPrint {
-		q.trial.print, q.trial.hasPrint = fingerprint(q.request), true
+	if !q.trial.hasFingerprint {
+		q.trial.fingerprint, q.trial.hasFingerprint = fingerprint(q.request), true
 	}
-	return q.trial.print
+	return q.trial.fingerprint
 }
 
-// mayRun looks up what is known of the request. It returns false, and the answer, where it
-// is barred and no trial of it is due.
-func (q *query) mayRun(ctx context.Context) (Answer, bool) {
+// checkQuarantine looks up the standing of the request. It returns false and the answer if the
+// request is barred and no trial of it is due.
+func (q *query) checkQuarantine(ctx context.Context) (Answer, bool) {
 	q.trial.shard = -1
 	guard := q.gateway.guard
 	if !guard.Active() {
@@ -73,7 +74,7 @@
 		q.awaitVerdict(guard.VerdictBy(f))
 		return Answer{}, true
 	}
-	name, due := guard.DueTrial(f, versions(q.groups), time.Now())
+	name, due := guard.DueTrial(f, serverVersions(q.groups), time.Now())
 	if due && q.gateway.control.Claim(ctx, name) {
 		trialsBegun.Inc()
 		q.trial.Suspect(time.Time{})
@@ -83,10 +84,10 @@
 	return q.barredAnswer(), false
 }
 
-// awaitVerdict lets a suspect wait until another query has had its trial, or a time, but for no more
-// of its own time than it can spare: words on an innocent one may follow each other. It has not been
-// offered to a server meanwhile, and is not refused for that. A single request does not wait, as it
-// goes to one server at a time in any case.
+// awaitVerdict makes a query of a suspect request wait for the trial of another query, until by at
+// the latest and for no more than a part of its own time, because suspicions of a popular request
+// may follow one another. The dispatch deadline is extended accordingly. A request that is not a
+// query does not wait, as it goes to one server at a time in any case.
 func (q *query) awaitVerdict(by time.Time) {
 	if q.entry.Query == nil {
 		q.trial.Suspect(time.Time{})
@@ -94,96 +95,97 @@
 	}
 	by = quarantine.AwaitVerdict(by, q.request.Arrived, q.end)
 	q.trial.Suspect(by)
-	if by.After(q.offerBy) {
-		q.code, q.failure = CodeSuspect, "servers ended under this request; what becomes of its trial is awaited"
-		q.offerBy = by.Add(q.longestHedgeDelay())
+	if by.After(q.dispatchBy) {
+		q.code, q.failure = CodeSuspect, "servers ended under this request, and its trial by another query is not decided yet"
+		q.dispatchBy = by.Add(q.maxHedgeDelay())
 	}
 }
 
-// absolved reports whether the request was served elsewhere while the query waited for its trial.
-func (q *query) absolved() bool {
-	if q.trial.shard < 0 && !q.trial.probation && !q.offered() && q.gateway.guard.Standing(q.fingerprint()) == quarantine.Clear {
+// clearedElsewhere reports whether the query is no longer on trial, because a server served the
+// same request while this query waited.
+func (q *query) clearedElsewhere() bool {
+	if q.trial.shard < 0 && !q.trial.probation && !q.dispatched() && q.gateway.guard.Standing(q.fingerprint()) == quarantine.Clear {
 		q.trial.Absolve()
 	}
 	return !q.trial.OnTrial()
 }
 
-// barredAnswer refuses a request that is barred, or ends it where servers have had it.
+// barredAnswer refuses a barred request, or fails it if a server may have run it.
 func (q *query) barredAnswer() Answer {
 	known := q.gateway.guard.Refused(q.fingerprint())
 	q.trace.fingerprint = known.Fingerprint.String()
-	reason := fmt.Sprintf("%d servers ended under this request, fingerprint %v, told by %v: clear it by hand when the servers are mended",
+	reason := fmt.Sprintf("%d servers ended under this request (fingerprint %v, seen by %v): fix the servers, then run mallowgap quarantine clear",
 		known.Ended, known.Fingerprint, known.Hosts)
-	if q.offered() {
+	if q.dispatched() {
 		return Answer{Outcome: Failed, Code: CodeBarred, Reason: reason}
 	}
 	return notRun(CodeBarred, reason, barredRetryAfter)
 }
 
-// launchTrial sends the query to one server alone, unless it is on trial already. An attempt
-// whose part is late gets a copy as any other. A trial beside other calls of the query would not
-// be alone: the end of its server would tell nothing, and take from the others' callers what may
-// be the last server of a shard. Where the query is not to blame, those calls bring a part, and
-// the attempts that wait follow at once.
+// launchTrial sends the query to one server alone, unless a trial is running. A late trial is
+// hedged like any other attempt. No trial starts beside other calls of the query: the exit of a
+// server would then prove nothing, and might cost other callers the last server of a shard. If the
+// query is harmless those calls bring a part, and the held attempts follow at once.
 func (q *query) launchTrial(ctx context.Context, now time.Time) {
 	t := &q.trial
-	t.held = t.held[:0]
+	t.heldShards = t.heldShards[:0]
 	running := q.running()
 	needs := q.state.Needs(now)
 	rand.Shuffle(len(needs), func(i, j int) { needs[i], needs[j] = needs[j], needs[i] })
 	for _, need := range needs {
-		copyOfTrial := need.Hedge && need.Shard == t.shard
-		if running && !copyOfTrial || !running && need.Hedge || now.Before(t.TrialFrom()) {
-			q.hold(need.Shard, now.Add(trialStep))
+		trialHedge := need.Hedge && need.Shard == t.shard
+		if running && !trialHedge || !running && need.Hedge || now.Before(t.TrialFrom()) {
+			q.holdShard(need.Shard, now.Add(trialPollInterval))
 			continue
 		}
-		a, ok := q.prepare(need, q.left(now), now)
+		a, ok := q.prepareAttempt(need, q.timeLeft(now), now)
 		if !ok {
 			continue
 		}
-		a.trial, running = true, true
+		a.onTrial, running = true, true
 		t.shard = need.Shard
 		t.servers = append(t.servers, a.call.backend.ID)
 		q.sendAttempts(ctx, []attempt{a}, now)
 	}
 }
 
-// served notes that a server served the query: what waits for the trial follows at once.
-func (q *query) served(now time.Time) {
+// noteServed records that a server served the query and resumes the shards that were held.
+func (q *query) noteServed(now time.Time) {
 	if q.trial.Served() {
 		q.gateway.guard.Clear(q.fingerprint(), now)
 	}
-	if len(q.doubt.open) == 0 {
-		q.releaseHeld(now)
+	if len(q.absence.pending) == 0 {
+		q.resumeHeldShards(now)
 	}
 }
 
-// releaseHeld lets the shards that were held be asked at once.
-func (q *query) releaseHeld(now time.Time) {
-	for _, n := range q.trial.held {
+// resumeHeldShards makes the held shards eligible at once.
+func (q *query) resumeHeldShards(now time.Time) {
+	for _, n := range q.trial.heldShards {
 		q.state.Later(n, now)
 	}
-	q.trial.held = nil
+	q.trial.heldShards = nil
 }
 
-// serverEnded notes that a server ended with the query.
-func (q *query) serverEnded(r result, now time.Time) {
+// noteServerEnded records that a server exited while running the query.
+func (q *query) noteServerEnded(r result, now time.Time) {
 	q.trace.fingerprint = q.fingerprint().String()
-	end := q.endOf(r)
+	end := q.endRecord(r)
 	q.gateway.guard.LogEnd(q.fingerprint(), q.request.ID, r.server, q.groups[r.shard].service, r.elapsed, r.reason, end)
-	stop, told := q.trial.Ended(end, now)
+	stop, trialEnded := q.trial.Ended(end, now)
 	if stop {
 		q.stopCalls()
-		q.tellEnds(now) // A repeat at another host may come before the trial is over.
+		q.reportEnds(now) // A repeat at another host may arrive before the trial ends.
 	}
-	if told {
+	if trialEnded {
 		q.trial.Wait(rand.N(quarantine.TrialSpread))
-		q.tellEnds(now)
+		q.reportEnds(now)
 	}
 }
 
-// endOf returns what the end of a server under the query is.
-func (q *query) endOf(r result) quarantine.End {
+// endRecord returns the quarantine entry for a server that exited or lost its connection while
+// running the query.
+func (q *query) endRecord(r result) quarantine.End {
 	end := quarantine.End{Server: r.server, OnTrial: slices.Contains(q.trial.servers, r.server)}
 	if b := q.gateway.fleet.server(r.server); b != nil {
 		end.Server, end.Version = processName(b.Server), b.Version
@@ -191,62 +193,65 @@
 	return end
 }
 
-// brokeOff notes that a call broke off at a server of which it is not known that it ended.
-func (q *query) brokeOff(r result) {
-	end := q.endOf(r)
-	if len(q.trial.broken) < quarantine.MaxNamed || end.OnTrial {
-		q.trial.broken = append(q.trial.broken, end)
+// noteConnectionLost records a lost connection to a server that is not known to have exited.
+func (q *query) noteConnectionLost(r result) {
+	end := q.endRecord(r)
+	if len(q.trial.brokenCalls) < quarantine.MaxNamed || end.OnTrial {
+		q.trial.brokenCalls = append(q.trial.brokenCalls, end)
 	}
 	if end.OnTrial {
-		q.trial.failed++
+		q.trial.failedTrials++
 	}
 }
 
-// trialFailed reports whether the query was on trial often enough without being served. Its
-// servers may have ended, as their entries will tell.
-func (q *query) trialFailed() bool { return q.trial.failed >= mostTrials && q.trial.OnTrial() }
+// trialsExhausted reports whether too many trials of the query failed without any server serving
+// it. Whether their servers exited is learned later from the store.
+func (q *query) trialsExhausted() bool {
+	return q.trial.failedTrials >= maxFailedTrials && q.trial.OnTrial()
+}
 
-// awaitWitnesses keeps the calls that broke off until their servers' entries tell what became
-// of them, where nobody served the query.
-func (q *query) awaitWitnesses(now time.Time) {
-	if len(q.trial.broken) == 0 || q.trial.WasServed() {
+// reportBrokenCalls hands lost connections to the guard, which learns from the store whether their
+// servers exited. It does nothing if a server served the query.
+func (q *query) reportBrokenCalls(now time.Time) {
+	if len(q.trial.brokenCalls) == 0 || q.trial.WasServed() {
 		return
 	}
-	for _, end := range q.trial.broken {
+	for _, end := range q.trial.brokenCalls {
 		q.gateway.guard.Broke(quarantine.BrokenCall{Fingerprint: q.fingerprint(), End: end, What: describe(q.request, q.entry.Name), At: now})
 	}
 }
 
-// tellEnds tells all hosts of the servers that ended under a query that none served since.
-func (q *query) tellEnds(now time.Time) {
-	seen, any := q.trial.Tell()
-	if !any {
+// reportEnds tells all hosts about the servers that exited while running the query since it was
+// last served.
+func (q *query) reportEnds(now time.Time) {
+	record, ok := q.trial.Tell()
+	if !ok {
 		return
 	}
-	seen.What = describe(q.request, q.entry.Name)
-	q.trial.barred = q.gateway.guard.Note(q.fingerprint(), seen, now) == quarantine.Barred
+	record.What = describe(q.request, q.entry.Name)
+	q.trial.barred = q.gateway.guard.Note(q.fingerprint(), record, now) == quarantine.Barred
 }
 
-// heardNews looks up whether the request was barred meanwhile, by this host or another.
-func (q *query) heardNews() {
+// checkBarred updates whether the request is barred by this host or another.
+func (q *query) checkBarred() {
 	if !q.trial.probation && q.gateway.guard.Standing(q.fingerprint()) == quarantine.Barred {
 		q.trial.barred = true
 	}
 }
 
-// describe says to operators what a request asks for.
+// describe returns a description of a request for operators.
 func describe(r *Request, routeName string) string {
-	what := r.Method + " " + r.Host + r.Target + " (route " + routeName + ")"
-	return what[:min(len(what), quarantine.MaxWhat)]
+	description := r.Method + " " + r.Host + r.Target + " (route " + routeName + ")"
+	return description[:min(len(description), quarantine.MaxWhat)]
 }
 
-// fingerprint stands for the content of a request and its caller.
+// fingerprint returns the fingerprint of the content and caller of a request.
 func fingerprint(r *Request) quarantine.Fingerprint {
 	return quarantine.Of(quarantine.Content{Method: r.Method, Host: r.Host, Target: r.Target, Caller: r.Header.Get("Authorization"), Body: r.Body})
 }
 
-// versions returns the versions of the servers in service of some groups.
-func versions(groups []*group) []string {
+// serverVersions returns the software versions of the servers in service in the given groups.
+func serverVersions(groups []*group) []string {
 	var found []string
 	for _, g := range groups {
 		g.mu.Lock()
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -48,7 +48,7 @@
 TestAnswersAreTrue@fanout/block.go@s/if !q.anyCovered\(b.Shards\) \{/if true {/@a shard is in an answer twice
 TestFloorLeavesOutWhatCannotCount@fanout/block.go@s/blocks := settle\(q.settings.Top, (.*)\)\n/blocks := $1\n/@a block whose floor does not hold is counted
 TestServersLapsedInAnOutageServeUntilTheStoreIsBack@discovery/registry.go@s/if r.away \|\| now.Before\(r.trustFrom\) \{\n\t\te.missing/if false {\n\t\te.missing/@entries that lapse in an outage are gone at once
-TestUnreachableServersEarnNoBudget@internal/gateway/attempt.go@s/if !q.counted\[need.Shard\] \{/if kind == firstAttempt {/@tries that reach nobody earn budget
+TestUnreachableServersEarnNoBudget@internal/gateway/attempt.go@s/if !q.firstCounted\[need.Shard\] \{/if kind == firstAttempt {/@tries that reach nobody earn budget
 TestNotRepeatableRequestIsSentOnce@internal/gateway/query.go@s/if !q.mayHaveRun && !q.running\(\) &&/if/@a request that may have run is called not run
 TestDrainingServerGetsNothingNew@internal/gateway/fleet.go@s/if s.Draining \|\| s.Evacuated \{/if s.Evacuated {/@a draining server gets requests
 TestCallerThatLeavesEndsItsCalls@internal/gateway/query.go@s/if ctx.Err\(\) != nil \|\| !q.running\(\)/if !q.running()/@calls go on after the caller has left
@@ -56,8 +56,8 @@
 TestNoTwoHostsFollowEachOther@internal/control/follow.go@s/compareHosts\(h, self\) >= 0/compareHosts(h, self) > 1/@two hosts follow each other
 TestConnectionsLeaveRoomForARestart@internal/control/view.go@s/connShare = 0.45/connShare = 0.9/@connections of before and after a power loss do not fit
 TestWindowHoldsOverAnySpan@retry/window.go@s/> permitted \|\| .*permitted \{/> 2*permitted {/@the window permits too much
-TestOneSilentServerOfARelayCostsOneHedge@internal/gateway/query.go@s/softCap = 0.2/softCap = 0.9/@a relay holds its parts back
-TestRequestThatReachesNobodyIsRefusedSoon@internal/gateway/query.go@s/return q.arrived \|\| q.running\(\)/return true/@a send that reached nobody counts as an offer
+TestOneSilentServerOfARelayCostsOneHedge@internal/gateway/query.go@s/maxSoftTimeoutShare = 0.2/maxSoftTimeoutShare = 0.9/@a relay holds its parts back
+TestRequestThatReachesNobodyIsRefusedSoon@internal/gateway/query.go@s/return q.reachedServer \|\| q.running\(\)/return true/@a send that reached nobody counts as an offer
 TestRefusingReplicaIsChosenLess@replica/set.go@s/lossCalls = 6/lossCalls = 0/@refusals cost nothing
 TestLateExtraAnswerBelongsToNobody@internal/httppool/pool.go@s/!r.Mine\(head\)/false/@a late answer to another request is taken
 TestBrokenAnswersAreErrors@internal/httppool/pool.go@s/return nil, fmt.Errorf\("%w: %w", errTruncated, err\)/return body, nil/@a truncated answer is taken
@@ -65,13 +65,13 @@
 TestEarlyAnswerToALongBodyEndsTheConnection@internal/httppool/pool.go@s/return response, false, err\n\t\}\n\}/return response, true, err\n\t}\n}/@the rest of a body meets another request
 TestHostStartsSoonWhereTheStoreIsSilent@internal/control/peers.go@s/if v.StoreLost.IsZero\(\) && v.Revision > 0 \{/if v.StoreLost.IsZero() {/@a starting host waits for a silent store
 TestHalfOfTheRelaysLostAtOnce@internal/control/peerhealth.go@s/if _, suspected := p.probeAt\[h.Address\]; suspected \|\|/if time.Now().Before(p.probeAt[h.Address]) ||/@requests are sent to try a lost peer
-TestSlowServerIsProbedByTheWholeFleetTogether@internal/gateway/attempt.go@s/q.view.Count\/probingHosts/0*probingHosts/@every host of a large fleet probes a slow server at the full rate
-TestHostsLearnOfSlowServersFromTheRelay@internal/gateway/send.go@s/\trc.takeReport\(reply, now\)\n//@what relays say of servers is not used
-TestDarkServerIsAvoided@internal/gateway/send.go@s/if cut \{\n\t\treturn callCut\n\t\}\n\tout.unreachable/if cut {\n\t\treturn callNoEvidence\n\t}\n\tout.unreachable/@a connection that was given up says nothing
+TestSlowServerIsProbedByTheWholeFleetTogether@internal/gateway/attempt.go@s/q.view.Count\/fullRateProbers/0*fullRateProbers/@every host of a large fleet probes a slow server at the full rate
+TestHostsLearnOfSlowServersFromTheRelay@internal/gateway/send.go@s/\trc.applyReport\(reply, now\)\n//@what relays say of servers is not used
+TestDarkServerIsAvoided@internal/gateway/send.go@s/if canceled \{\n\t\treturn callCanceled\n\t\}\n\tout.unreachable/if canceled {\n\t\treturn callInconclusive\n\t}\n\tout.unreachable/@a connection that was given up says nothing
 TestReplicaSilentFromTheStartIsAvoided@replica/observe.go@s/if elapsed > leaf.latency \{/if elapsed > leaf.latency && leaf.latency > 0 {/@a server that never answered stays unknown
 TestOwnFreshObservationGoesBeforeAReport@replica/report.go@s/now.Sub\(leaf.observed\) > ownLife/true/@a report ends fresh observations
 TestTrimmedBatchesHoldTheGreatest@fanout/trimmer.go@s/Top\(t.top, t.best, records\)/Top(t.top, records, records)/@records sent once raise the floor twice
-TestRequestWaitsForTheStartOfItsHost@internal/gateway/serve.go@s/startWait = 150/startWait = 0/@a starting host refuses every request
+TestRequestWaitsForTheStartOfItsHost@internal/gateway/serve.go@s/startupWait = 150/startupWait = 0/@a starting host refuses every request
 TestOversizedRequestsAreRefused@internal/gateway/serve.go@s/r.HeaderBytes > limits.HeaderBytes/false/@headers of any size are taken
 TestBodyIsReadUpToTheConfiguredLimit@platform/caller.go@s/most := limits.BodyBytes/most := 0/@a body is read beyond the limit
 TestBudgetGoesFirstToQueriesThatLackLittle@fanout/extra.go@s/lackingStep     = 0.1/lackingStep     = 0.0/@all queries take from the budget alike
@@ -81,8 +81,8 @@
 TestEntriesArePacked@internal/control/wire.go@s/p.known == known && p.state == n.changed/p.known == known/@entries of an older state are sent
 TestEjectedReplicaIsNotVouchedFor@replica/report.go@s/silent \|\| o.Ejected/silent/@a server that fails at once is vouched for
 TestFollowerOfACutLeaderLearnsAfterACompaction@internal/control/follow.go@s/if errors.Is\(err, ErrCompacted\) \{/if false {/@a compacted history is taken for a lost store
-TestThreeTimesTheCallers@internal/gateway/serve.go@s/if refused, ok := p.admit\(time.Now\(\)\); !ok \{/if refused, ok := p.admit(time.Now()); !ok && false {/@nothing is refused in an overload
-TestRelayTellsRefusalsAtOnce@internal/gateway/relay.go@s/refusals = time.After\(refusalGap\)/refusals = nil/@refusals are told with the parts
+TestThreeTimesTheCallers@internal/gateway/serve.go@s/if refused, ok := q.admit\(time.Now\(\)\); !ok \{/if refused, ok := q.admit(time.Now()); !ok && false {/@nothing is refused in an overload
+TestRelayTellsRefusalsAtOnce@internal/gateway/relay.go@s/refusals = time.After\(refusalReplyDelay\)/refusals = nil/@refusals are told with the parts
 TestQueueIsRememberedBetweenRareReports@replica/wait.go@s/halfLifeGaps\*l.queueGap/0*l.queueGap/@queues are forgotten between rare reports
 TestReplicaThatLosesAnswersIsChosenLess@replica/eject.go@s/\tleaf.lost \+= smoothing \* \(1 - leaf.lost\)\n//@failures do not count in the choice of a server
 TestFloodOfTheLowerRankLeavesTheHigherAlone@admission/gate.go@s/floorShare\*\(1-g.refuse\)\*g.offered\(\)\/r.work/0.2/@the floor of a rank grows with what it asks
@@ -98,7 +98,7 @@
 TestLinesDoNotGrowWithTheEntries@internal/control/state.go@s/if !s.view\(\).Share\(server, s.relays\).Calls\(s.self.Name, s.self.Domain\) \{/if false {/@every host tells of every server
 TestLinesBeyondTheBoundAreCountedInTheNextLine@internal/obs/bounded.go@s/e.Int64\("left_out", n\)//@lines that are left out are not told
 TestConnectionsStayBelowTheLimitAtAnySize@internal/control/view.go@s/else if v.Count > usable \{/else if false {/@every host calls a server whatever it accepts
-TestHostsPassRequestsOnWhereAServerHasFewConnections@internal/gateway/relay.go@s/if w.whole && r.reply != nil \{/if false {/@whole replies are lost on the way
+TestHostsPassRequestsOnWhereAServerHasFewConnections@internal/gateway/relay.go@s/if g.whole && r.reply != nil \{/if false {/@whole replies are lost on the way
 TestQueriesThatNeedOneScarceShardDoNotTakeAll@internal/gateway/attempt.go@s/if q.choice == nil \{/if true {/@every query asks all scarce shards
 TestShardsThatCannotBeInTimeComeLast@scarcity/scarcity.go@s/case shards\[i\].Expected <= left:/case true:/@a shard without a server is asked first
 TestQueriesThatNeedNoneLeaveThemToOthers@scarcity/scarcity.go@s/if count > spare \{/if false {/@queries that need no scarce shard take its places
@@ -119,19 +119,19 @@
 TestStanding@quarantine/standing.go@s/case len\(servers\) >= LeastEnds && len\(trials\) >= LeastTrials:/case len(servers) >= LeastEnds:/@servers that ended are counted without a trial
 TestBarredRequestIsTriedAgain@quarantine/book.go@s/now.Sub\(c.barredSince\) >= probation/true/@a trial is due at once
 TestBarOutlivesTheHosts|TestEveryKindOfRequestIsBarred@internal/guard/guard.go@s/g.keeper.PutRecord\(/_ = func(string, []byte) {}; func(string, []byte) {}(/@what a host saw is not told
-TestLogTellsWithWhichRequestAServerEnded@internal/gateway/send.go@s/out.ended = g.edges.Leafs.Ended\(ctx, c.backend.Server\)/out.ended = true/@each broken connection counts as the end of a server
+TestLogTellsWithWhichRequestAServerEnded@internal/gateway/send.go@s/out.serverEnded = g.edges.Leafs.Ended\(ctx, c.backend.Server\)/out.serverEnded = true/@each broken connection counts as the end of a server
 TestServersThatAreBackAtOnceAreKnownToHaveEnded@internal/guard/guard.go@s/range g.witnesses.Ended\(process, now\) \{/range g.witnesses.Ended(process, now)[:0] {/@entries are no witnesses of an end
 TestHostThatWakesAloneIsReadyAgain@internal/control/wake.go@s/\ts.doubted = now\n//@a host that wakes does not doubt what it knows
-TestRequestInHandEndsWithASuspension@internal/gateway/sleep.go@s/q.end, q.due, q.offerBy = q.end.Add\(-d\)/q.end, q.due, q.offerBy = q.end.Add(0)/; s/\tq.state.Slept\(d\)\n//@a request in hand does not count a suspension
+TestRequestInHandEndsWithASuspension@internal/gateway/sleep.go@s/q.end, q.due, q.dispatchBy = q.end.Add\(-added\)/q.end, q.due, q.dispatchBy = q.end.Add(0)/; s/\tq.state.Slept\(added\)\n//@a request in hand does not count a suspension
 TestEndsArePutDownToOneRequest@quarantine/standing.go@s/if other.Standing == Barred && other.outweighs\(s\) \{/if false {/@an end counts for every request that saw it
 TestStanding@quarantine/standing.go@s/if !c.served.IsZero\(\) \{\n\t\ts.Standing = min/if false {\n\t\ts.Standing = min/@what was served is barred all the same
 TestBarThatBeginsWithTimeIsNews@internal/guard/guard.go@s/g.tell\("time"\)/g.known.Store(int64(g.book.Len()))/@a bar that begins with time is told to nobody
 TestBarThatBeginsAsAnotherEndsIsNews@quarantine/standing.go@s/\n\tb.settleExplained\([a-z.]+\)//g@a bar that begins as another ends is told to nobody
 TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.heardNews\(\)/q.trial.news = nil/@queries under way hear of no bar
 TestTrialsLeaveShardsEnoughToServeOthers@internal/gateway/trial.go@s/running := q.running\(\)/running := t.shard >= 0 && q.state.Running(t.shard) > 0/@a trial begins beside other calls
-TestQueryOfWhichNothingCameSendsNoCopies@internal/gateway/attempt.go@s/need.Hedge && q.holdsCopies\(now\)/false/@copies go out before any shard has answered
-TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.tellEnds\(now\) \/\/ A repeat.*//@others hear when the trial is over
-TestQueryThatLacksServersIsRefusedAtOnce@internal/gateway/serve.go@s/p.lacksServers\(time.Now\(\)\)/false/@queries wait for servers that are gone
+TestQueryOfWhichNothingCameSendsNoCopies@internal/gateway/attempt.go@s/need.Hedge && q.holdsHedges\(now\)/false/@copies go out before any shard has answered
+TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.reportEnds\(now\) \/\/ A repeat.*//@others hear when the trial is over
+TestQueryThatLacksServersIsRefusedAtOnce@internal/gateway/serve.go@s/q.lacksServers\(time.Now\(\)\)/false/@queries wait for servers that are gone
 TestHostsWithoutTheStoreDoNotEachFindOut@internal/control/records.go@s/if c.storeAway\(\) \{\n\t\tc.word.put/if false {\n\t\tc.word.put/@peers are not told while the store is away
 TestHostThatWasToldLeavesTheTrialToTheOther@internal/gateway/trial.go@s/q.awaitVerdict\(guard.VerdictBy\(f\)\)/q.trial.Suspect(time.Time{})/@a host that was told begins trials of its own
 TestStanding@quarantine/standing.go@s/LeastTrials = 2/LeastTrials = 1/@one end on trial is enough
