--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -58,8 +58,8 @@
 
 // holdsHedges reports whether hedges are held back because no shard of the query has answered yet:
 // then no call is late compared with others, and the query itself may be the cause. This protects
-// the remaining servers of each shard from a request under which servers exit. Hedges are sent
-// after hedgesFrom in any case, because all calls may be silent for another reason.
+// the remaining servers of each shard from a request that makes servers exit. Hedges are sent after
+// hedgesFrom in any case, because all calls may be silent for another reason.
 func (q *query) holdsHedges(now time.Time) bool {
 	return q.entry.Query != nil && !q.trial.WasServed() && now.Before(q.hedgesFrom())
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -106,9 +106,9 @@
 	for _, s := range ended {
 		l.gateway.guard.ServerEnded(processName(s), s.ID, s.Service, now)
 	}
-	for _, restarted := range restarted {
-		l.gateway.requestLog.servers.Info().Str("server", restarted.ID).Str("service", restarted.Service).Int64("born", restarted.Born).Msg("server restarted: earlier observations discarded")
-		go l.gateway.edges.Leafs.Forget(restarted)
+	for _, server := range restarted {
+		l.gateway.requestLog.servers.Info().Str("server", server.ID).Str("service", server.Service).Int64("born", server.Born).Msg("server restarted: earlier observations discarded")
+		go l.gateway.edges.Leafs.Forget(server)
 	}
 	l.gateway.fleet.setShares(shares, now)
 }
--- a/internal/gateway/query.go
+++ b/internal/gateway/query.go
@@ -154,7 +154,7 @@
 			return q.absentAnswer(now)
 		}
 		if q.trialsExhausted() {
-			return Answer{Outcome: Failed, Code: CodeServerFailed, Reason: "connections broke repeatedly when the request was tried on single servers, after other servers had ended under it"}
+			return Answer{Outcome: Failed, Code: CodeServerFailed, Reason: "connections broke repeatedly when the request was tried on single servers, after other servers had exited while running it"}
 		}
 		if q.state.Finished(now) || q.onlyLeftOutRemain() {
 			return q.answer(now)
