--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -15,33 +15,34 @@
 	"github.com/mallowgap/mallowgap/internal/pause"
 )
 
-// MaxWrites is the number of entries that the store takes in one call.
+// MaxWrites is the maximum number of entries the store accepts in one write.
 const MaxWrites = 32
 
 const (
-	// announceTick is how often a host looks whether entries it keeps are still there.
-	announceTick = 500 * time.Millisecond
-	// announceGap is the least time between two writes, so that followers that come
-	// close together share one.
-	announceGap = 100 * time.Millisecond
-	// announceSpread is for how long a host of strength 1 waits, half of it to all of it
-	// at random, before it announces itself where it knows no host to follow; a weaker
-	// one waits longer by its strength, and then finds one that keeps its entry.
-	announceSpread = 150 * time.Millisecond
-	// orphanWait is for how long a host that followed another looks for a new one before
-	// it announces itself. Its entry lives on for the lease meanwhile.
-	orphanWait = time.Second
-	// leaveGrace is for how long the entry of a follower whose stream broke is kept: it
-	// may come back, or follow another host that writes the entry anew, or do so itself
-	// after orphanWait.
-	leaveGrace = 3 * time.Second
-	// renewals is how often a lease is renewed in its time.
-	renewals = 3
+	// entryCheckInterval is how often a host checks that the entries it owns are still in the
+	// store.
+	entryCheckInterval = 500 * time.Millisecond
+	// minWriteInterval is the minimum time between two writes, so that followers that connect
+	// at about the same time share one write.
+	minWriteInterval = 100 * time.Millisecond
+	// maxAnnounceDelay is the longest delay before a host of strength 1 that knows no leader
+	// announces itself. The delay is random, between half of this and all of it, and longer
+	// for weaker hosts, so that they find a leader to write their entries instead.
+	maxAnnounceDelay = 150 * time.Millisecond
+	// leaderSearchTime is how long a host that lost its leader looks for another before it
+	// announces itself. Its entry remains until its lease expires.
+	leaderSearchTime = time.Second
+	// followerGrace is how long the entry of a disconnected follower is kept. The follower
+	// may reconnect, find another leader that rewrites its entry, or announce itself after
+	// leaderSearchTime.
+	followerGrace = 3 * time.Second
+	// renewalsPerLease is the number of times a lease is renewed during its TTL.
+	renewalsPerLease = 3
 )
 
-// announcer keeps entries of hosts in the store under a lease: that of this host where
-// it follows nobody, and those of the hosts that follow it. So the store's calls grow
-// with the regions and not with the hosts.
+// announcer keeps host entries in the store under a lease: the host's own entry while it has
+// no leader, and the entries of its followers. The number of store calls thus grows with the
+// number of regions, not with the number of hosts.
 type announcer struct {
 	name     string
 	strength float64
@@ -51,26 +52,26 @@
 	log      zerolog.Logger
 	view     func() *View
 	wake     chan struct{}
-	// epoch is when the announcer was made. Moments that several goroutines read are kept as
-	// the nanoseconds since then, by the steady clock: the time of day may jump.
+	// epoch is when the announcer was created. Times read by several goroutines are stored as
+	// nanoseconds since epoch on the monotonic clock, because the wall clock may jump.
 	epoch time.Time
-	// followed tells that another host keeps the entry of this one, orphanSince since when
-	// none does.
-	followed    atomic.Bool
-	orphanSince atomic.Int64
-	// failing is since when the store takes no call; 0: it does.
-	failing atomic.Int64
+	// delegated reports whether a leader keeps this host's entry; undelegatedSince is when
+	// the last leader stopped doing so.
+	delegated        atomic.Bool
+	undelegatedSince atomic.Int64
+	// failingSince is when store calls started to fail, or 0 if they succeed.
+	failingSince atomic.Int64
 
 	mu        sync.Mutex
 	followers map[string]*follower
 
-	// wokeUp tells that the machine was suspended: the lease may have ended meanwhile.
-	wokeUp atomic.Bool
-	// selfFrom is from when on this host announces itself if it has
-	// followed nobody since its start.
-	selfFrom atomic.Int64
+	// resumed is set after the machine was suspended; the lease may have expired meanwhile.
+	resumed atomic.Bool
+	// announceAt is the earliest time at which a host that has had no leader since its start
+	// announces itself.
+	announceAt atomic.Int64
 
-	// What follows belongs to the announcing goroutine.
+	// The fields below belong to the announcing goroutine.
 	lease   uint64
 	renewAt time.Time
 	retryAt time.Time
@@ -80,14 +81,14 @@
 // follower is a host that follows this one.
 type follower struct {
 	value []byte
-	// streams is the number of its streams that are open, leftAt when the last ended.
-	streams int
-	leftAt  time.Time
-	// leaving tells that it stops as planned.
+	// streams is the number of open streams; disconnectedAt is when the last one closed.
+	streams        int
+	disconnectedAt time.Time
+	// leaving is set when the follower is shutting down as planned.
 	leaving bool
 }
 
-// writtenEntry is an entry as it was written under the present lease.
+// writtenEntry is an entry written under the current lease.
 type writtenEntry struct {
 	value    string
 	revision uint64
@@ -96,58 +97,59 @@
 func newAnnouncer(c *Control, ttl time.Duration) *announcer {
 	value, err := proto.Marshal(c.self)
 	if err != nil {
-		c.log.Error().Err(err).Msg("the entry of this host cannot be encoded: peers will not find it")
+		c.log.Error().Err(err).Msg("failed to encode the entry of this host: peers will not discover it")
 	}
 	a := &announcer{
-		name: c.name, strength: max(c.self.GetStrength(), leastStrength), value: value, ttl: ttl, store: c.store, log: c.log, view: c.View,
+		name: c.name, strength: max(c.self.GetStrength(), minStrength), value: value, ttl: ttl, store: c.store, log: c.log, view: c.View,
 		wake: make(chan struct{}, 1), followers: map[string]*follower{}, written: map[string]writtenEntry{},
 	}
 	a.epoch = time.Now()
-	a.selfFrom.Store(a.since(a.epoch.Add(longestStart)))
+	a.announceAt.Store(a.sinceEpoch(a.epoch.Add(maxStartDelay)))
 	return a
 }
 
-// since returns a moment as what is kept of it.
-func (a *announcer) since(at time.Time) int64 { return int64(at.Sub(a.epoch)) }
+// sinceEpoch converts a time to nanoseconds since epoch.
+func (a *announcer) sinceEpoch(at time.Time) int64 { return int64(at.Sub(a.epoch)) }
 
 const (
-	// leastStrength bounds the wait of hosts whose strength is odd.
-	leastStrength = 0.1
-	// longestStart is after what time a host announces itself that has not learned yet
-	// whether there is one to follow.
-	longestStart = 5 * time.Second
+	// minStrength limits the delay of hosts with a zero, negative or very small strength.
+	minStrength = 0.1
+	// maxStartDelay is the time after which a host announces itself even if it does not know
+	// yet whether there is a leader to follow.
+	maxStartDelay = 5 * time.Second
 )
 
-// spread is a random wait before this host does what one host could do for all: the
-// strongest come first.
-func (a *announcer) spread() time.Duration {
-	longest := float64(announceSpread) / a.strength
+// announceDelay returns a random delay before this host does work that one host could do for
+// all. Stronger hosts get shorter delays.
+func (a *announcer) announceDelay() time.Duration {
+	longest := float64(maxAnnounceDelay) / a.strength
 	return time.Duration(longest/2 + rand.Float64()*longest/2)
 }
 
-// introduced notes whether a host that has just learned of the others has one to
-// follow. If it has, it waits for that one to keep its entry.
-func (a *announcer) introduced(follows bool, now time.Time) {
-	if follows {
-		now = now.Add(orphanWait)
+// scheduleAnnounce sets when a host that has just learned of its peers announces itself: at
+// once, or, if there is a leader to follow, after giving the leader time to take over its
+// entry.
+func (a *announcer) scheduleAnnounce(hasLeader bool, now time.Time) {
+	if hasLeader {
+		now = now.Add(leaderSearchTime)
 	}
-	a.selfFrom.Store(a.since(now))
-	nudge(a.wake)
+	a.announceAt.Store(a.sinceEpoch(now))
+	notify(a.wake)
 }
 
-// nudge makes a goroutine that waits for wake, a channel with room for one value, look at once.
-func nudge(wake chan<- struct{}) {
+// notify wakes the goroutine waiting on wake without blocking. wake has a buffer of one.
+func notify(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
 	default:
 	}
 }
 
-// takeSome takes entries out of a map, at most so many.
-func takeSome[V any](from map[string]V, most int) map[string]V {
+// takeUpTo removes up to n entries from a map and returns them.
+func takeUpTo[V any](from map[string]V, n int) map[string]V {
 	taken := map[string]V{}
 	for name, value := range from {
-		if len(taken) == most {
+		if len(taken) == n {
 			break
 		}
 		taken[name] = value
@@ -156,27 +158,27 @@
 	return taken
 }
 
-// woke makes the announcing goroutine renew its lease at once.
-func (a *announcer) woke() {
-	a.wokeUp.Store(true)
-	nudge(a.wake)
+// onResume makes the announcing goroutine renew its lease immediately.
+func (a *announcer) onResume() {
+	a.resumed.Store(true)
+	notify(a.wake)
 }
 
-// setFollowed notes whether another host keeps the entry of this one.
-func (a *announcer) setFollowed(followed bool) {
-	if a.followed.Swap(followed) == followed {
+// setDelegated records whether a leader keeps this host's entry.
+func (a *announcer) setDelegated(delegated bool) {
+	if a.delegated.Swap(delegated) == delegated {
 		return
 	}
-	a.orphanSince.Store(a.since(time.Now()))
-	nudge(a.wake)
+	a.undelegatedSince.Store(a.sinceEpoch(time.Now()))
+	notify(a.wake)
 }
 
-// join notes a stream of a host that wants its entry kept; the function returned notes
-// its end.
-func (a *announcer) join(h *relaypb.Host, leaving bool) (left func()) {
+// addFollower registers a stream of a follower whose entry this host is to keep. The returned
+// function must be called when the stream ends.
+func (a *announcer) addFollower(h *relaypb.Host, leaving bool) (release func()) {
 	value, err := proto.Marshal(h)
 	if err != nil {
-		a.log.Error().Err(err).Str("peer", h.GetName()).Msg("the entry of a follower cannot be encoded: peers will not find it")
+		a.log.Error().Err(err).Str("peer", h.GetName()).Msg("failed to encode the entry of a follower: peers will not discover it")
 		return func() {}
 	}
 	a.mu.Lock()
@@ -188,27 +190,28 @@
 	}
 	f.value, f.leaving = value, leaving
 	f.streams++
-	nudge(a.wake)
+	notify(a.wake)
 	return func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		f.streams--
-		f.leftAt = time.Now()
+		f.disconnectedAt = time.Now()
 	}
 }
 
-// keeps reports whether followers can rely on this host to keep their entries.
-func (a *announcer) keeps(now time.Time) bool {
-	since := a.failing.Load()
-	return since == 0 || time.Duration(a.since(now)-since) < a.ttl/2
+// canKeepEntries reports whether followers can rely on this host to keep their entries in the
+// store.
+func (a *announcer) canKeepEntries(now time.Time) bool {
+	since := a.failingSince.Load()
+	return since == 0 || time.Duration(a.sinceEpoch(now)-since) < a.ttl/2
 }
 
-// run keeps the entries until ctx ends, then removes that of this host.
+// run maintains the entries until ctx is done, then removes the entry of this host.
 func (a *announcer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.step(ctx, time.Now())
-		pause.For(ctx, announceGap)
-		timer := time.NewTimer(announceTick)
+		pause.For(ctx, minWriteInterval)
+		timer := time.NewTimer(entryCheckInterval)
 		select {
 		case <-a.wake:
 		case <-timer.C:
@@ -219,9 +222,9 @@
 	a.withdraw()
 }
 
-// step makes the calls of the store that are due.
+// step makes the store calls that are due.
 func (a *announcer) step(ctx context.Context, now time.Time) {
-	if a.wokeUp.Swap(false) {
+	if a.resumed.Swap(false) {
 		a.renewAt, a.retryAt = now, time.Time{}
 	}
 	if now.Before(a.retryAt) {
@@ -229,66 +232,68 @@
 	}
 	p := a.plan(now)
 	if p.idle && a.lease != 0 {
-		a.lease, a.written = 0, map[string]writtenEntry{} // It lapses.
+		a.lease, a.written = 0, map[string]writtenEntry{} // The unused lease expires by itself.
 	}
 	err := a.renew(ctx, now)
 	if errors.Is(err, ErrLeaseEnded) {
-		a.log.Info().Int("entries", len(a.written)).Msg("the lease of the entries kept here has ended: writing them again")
+		a.log.Info().Int("entries", len(a.written)).Msg("lease of host entries expired: writing the entries again")
 		a.lease, a.written = 0, map[string]writtenEntry{}
 		p, err = a.plan(now), nil
 	}
 	if err == nil {
 		err = a.write(ctx, p)
 	}
-	a.note(err, now)
+	a.recordResult(err, now)
 }
 
-// note remembers since when the store takes no calls.
-func (a *announcer) note(err error, now time.Time) {
+// recordResult records the outcome of the store calls of one step and, after an error, delays
+// the next step.
+func (a *announcer) recordResult(err error, now time.Time) {
 	if err == nil {
-		a.failing.Store(0)
+		a.failingSince.Store(0)
 		return
 	}
-	a.retryAt = now.Add(retryLongest)
-	if a.failing.CompareAndSwap(0, max(a.since(now), 1)) {
-		a.log.Warn().Err(err).Msg("the entries kept here could not be written; it will be tried again")
+	a.retryAt = now.Add(maxRetryDelay)
+	if a.failingSince.CompareAndSwap(0, max(a.sinceEpoch(now), 1)) {
+		a.log.Warn().Err(err).Msg("failed to write host entries to the store: will retry")
 	}
 }
 
+// renew renews the lease if it is due.
 func (a *announcer) renew(ctx context.Context, now time.Time) error {
 	if a.lease == 0 || now.Before(a.renewAt) {
 		return nil
 	}
 	err := a.store.Renew(ctx, a.lease)
 	if err == nil {
-		a.renewAt = now.Add(a.ttl / renewals)
+		a.renewAt = now.Add(a.ttl / renewalsPerLease)
 	}
 	return err
 }
 
-// writes is what the store lacks.
-type writes struct {
+// writePlan lists the differences to write to the store.
+type writePlan struct {
 	puts   map[string][]byte
 	remove []string
-	// idle tells that no entry is to be kept.
+	// idle is set if there are no entries to keep.
 	idle bool
 }
 
-// plan works out what has to be written.
-func (a *announcer) plan(now time.Time) writes {
+// plan compares the wanted entries with those in the store.
+func (a *announcer) plan(now time.Time) writePlan {
 	v := a.view()
-	present := v.revisions()
-	p := writes{puts: map[string][]byte{}}
-	keep := a.followersToKeep(now, present, &p)
-	if a.keepsItself(now) {
-		keep[a.name] = a.value
+	stored := v.revisions()
+	p := writePlan{puts: map[string][]byte{}}
+	wanted := a.followerEntries(now, stored, &p)
+	if a.announcesItself(now) {
+		wanted[a.name] = a.value
 	} else {
-		delete(a.written, a.name) // The host that is followed writes it under its own lease.
+		delete(a.written, a.name) // The leader writes it under its own lease.
 	}
-	p.idle = len(keep) == 0
-	for name, value := range keep {
+	p.idle = len(wanted) == 0
+	for name, value := range wanted {
 		known, ok := a.written[name]
-		lost := ok && v.StoreLost.IsZero() && v.Revision >= known.revision && present[name] == 0
+		lost := ok && v.StoreLost.IsZero() && v.Revision >= known.revision && stored[name] == 0
 		if !ok || known.value != string(value) || lost {
 			p.puts[name] = value
 		}
@@ -296,50 +301,50 @@
 	return p
 }
 
-// keepsItself reports whether this host has to announce itself.
-func (a *announcer) keepsItself(now time.Time) bool {
-	if a.followed.Load() {
+// announcesItself reports whether this host writes its own entry.
+func (a *announcer) announcesItself(now time.Time) bool {
+	if a.delegated.Load() {
 		return false
 	}
 	if _, ok := a.written[a.name]; ok {
 		return true
 	}
-	orphan := a.orphanSince.Load()
-	if from := a.selfFrom.Load(); orphan <= from {
-		return a.since(now) >= from // It has followed nobody since its start.
+	undelegated := a.undelegatedSince.Load()
+	if notBefore := a.announceAt.Load(); undelegated <= notBefore {
+		return a.sinceEpoch(now) >= notBefore // There has been no leader since the start.
 	}
-	return time.Duration(a.since(now)-orphan) >= orphanWait
+	return time.Duration(a.sinceEpoch(now)-undelegated) >= leaderSearchTime
 }
 
-// followersToKeep returns the entries of the hosts that follow this one, and plans the
-// removal of those that do so no longer.
-func (a *announcer) followersToKeep(now time.Time, present map[string]uint64, p *writes) map[string][]byte {
+// followerEntries returns the entries of the current followers, and adds the removal of
+// former followers to the plan.
+func (a *announcer) followerEntries(now time.Time, stored map[string]uint64, p *writePlan) map[string][]byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	keep := map[string][]byte{}
+	wanted := map[string][]byte{}
 	for name, f := range a.followers {
 		switch {
 		case f.leaving:
-			if present[name] != 0 {
+			if stored[name] != 0 {
 				p.remove = append(p.remove, name)
 			}
 			delete(a.followers, name)
-		case f.streams > 0 || now.Sub(f.leftAt) < leaveGrace:
-			keep[name] = f.value
+		case f.streams > 0 || now.Sub(f.disconnectedAt) < followerGrace:
+			wanted[name] = f.value
 		default:
-			// Where another host has written it since, the entry is that host's.
-			if w, ok := a.written[name]; ok && present[name] == w.revision {
+			// Remove the entry only if no other host has rewritten it since.
+			if w, ok := a.written[name]; ok && stored[name] == w.revision {
 				p.remove = append(p.remove, name)
 			}
 			delete(a.followers, name)
 			delete(a.written, name)
 		}
 	}
-	return keep
+	return wanted
 }
 
-// write writes in as many calls as the store needs.
-func (a *announcer) write(ctx context.Context, p writes) error {
+// write executes a plan in as many store calls as it needs.
+func (a *announcer) write(ctx context.Context, p writePlan) error {
 	if len(p.puts) == 0 && len(p.remove) == 0 {
 		return nil
 	}
@@ -348,19 +353,20 @@
 		if err != nil {
 			return err
 		}
-		a.lease, a.renewAt = lease, time.Now().Add(a.ttl/renewals)
+		a.lease, a.renewAt = lease, time.Now().Add(a.ttl/renewalsPerLease)
 	}
 	for len(p.puts) > 0 || len(p.remove) > 0 {
-		if err := a.writeOnce(ctx, &p); err != nil {
+		if err := a.writeBatch(ctx, &p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// writeOnce writes as much as the store takes in one call.
-func (a *announcer) writeOnce(ctx context.Context, p *writes) error {
-	puts := takeSome(p.puts, MaxWrites)
+// writeBatch writes as many changes as the store accepts in one call and removes them from
+// the plan.
+func (a *announcer) writeBatch(ctx context.Context, p *writePlan) error {
+	puts := takeUpTo(p.puts, MaxWrites)
 	remove := p.remove[:min(len(p.remove), MaxWrites-len(puts))]
 	p.remove = p.remove[len(remove):]
 	revision, err := a.store.Write(ctx, relaypb.EntryKind_HOST, a.lease, puts, remove)
@@ -373,17 +379,17 @@
 	for name, value := range puts {
 		a.written[name] = writtenEntry{value: string(value), revision: revision}
 	}
-	a.log.Info().Int("hosts", len(puts)).Int("removed", len(remove)).Uint64("lease", a.lease).Uint64("revision", revision).Msg("entries of hosts written")
+	a.log.Info().Int("hosts", len(puts)).Int("removed", len(remove)).Uint64("lease", a.lease).Uint64("revision", revision).Msg("host entries written")
 	return nil
 }
 
-// withdraw removes the entry of this host. The lease is left to lapse: the entries of
-// followers stand under it until another host has written them.
+// withdraw removes the entry of this host. The lease is left to expire: it protects the
+// entries of followers until another host has rewritten them.
 func (a *announcer) withdraw() {
 	if _, ok := a.written[a.name]; !ok {
 		return
 	}
 	if _, err := a.store.Write(context.Background(), relaypb.EntryKind_HOST, 0, nil, []string{a.name}); err != nil {
-		a.log.Warn().Err(err).Msg("the entry of this host could not be removed; it lapses with its lease")
+		a.log.Warn().Err(err).Msg("failed to remove the entry of this host: it expires with its lease")
 	}
 }
--- a/internal/control/callers.go
+++ b/internal/control/callers.go
@@ -10,86 +10,89 @@
 	"github.com/mallowgap/mallowgap/rendezvous"
 )
 
-// chooser chooses the hosts that call a server with fewer connections than there are
-// hosts: always the same for a server as long as they are there, as many of each failure
-// domain. It is made anew when hosts come or go, and works out a choice when it is asked
-// for the first time, as to do so for each server at each change of any entry would double
-// the processor time of a host. It is safe for concurrent use.
-type chooser struct {
+// subsetter selects the subset of hosts that call a server that accepts fewer connections
+// than there are hosts. The subset of a server stays the same while its members exist, and
+// takes the same number of hosts from each failure domain. A new subsetter is created
+// whenever hosts change. It computes subsets on first use, because recomputing them for every
+// server on every change would be expensive. It is safe for concurrent use.
+type subsetter struct {
 	hosts   map[string][]Host
 	members map[string][]rendezvous.Member
 	domains []string
 	mu      sync.Mutex
-	// chosen holds what was worked out, by server and domain.
-	chosen map[choiceKey][]Host
+	// subsets caches the subsets by server, domain and size.
+	subsets map[subsetKey][]Host
 }
 
-type choiceKey struct {
+// subsetKey identifies the part of a server's subset of size n that lies in one domain.
+type subsetKey struct {
 	server, domain string
 	n              int
 }
 
-func newChooser(hosts map[string][]Host) *chooser {
-	c := &chooser{hosts: hosts, members: map[string][]rendezvous.Member{}, chosen: map[choiceKey][]Host{}}
+// newSubsetter returns a subsetter for the hosts, grouped by failure domain.
+func newSubsetter(hosts map[string][]Host) *subsetter {
+	s := &subsetter{hosts: hosts, members: map[string][]rendezvous.Member{}, subsets: map[subsetKey][]Host{}}
 	for domain, group := range hosts {
-		c.domains = append(c.domains, domain)
+		s.domains = append(s.domains, domain)
 		for _, h := range group {
-			c.members[domain] = append(c.members[domain], rendezvous.Member{ID: h.Name})
+			s.members[domain] = append(s.members[domain], rendezvous.Member{ID: h.Name})
 		}
 	}
-	slices.Sort(c.domains)
-	return c
+	slices.Sort(s.domains)
+	return s
 }
 
-// quota returns how many of n hosts are of a domain. Where n is less than the number of
-// domains, some have none; which ones differs from server to server.
-func (c *chooser) quota(server, domain string, n int) int {
-	if len(c.domains) == 0 {
+// quota returns how many of n hosts are taken from a domain. The remainder of n divided by
+// the number of domains goes to different domains for different servers.
+func (s *subsetter) quota(server, domain string, n int) int {
+	if len(s.domains) == 0 {
 		return 0
 	}
-	each := n / len(c.domains)
-	if rest := n % len(c.domains); rest > 0 {
+	perDomain := n / len(s.domains)
+	if remainder := n % len(s.domains); remainder > 0 {
 		var members []rendezvous.Member
-		for _, d := range c.domains {
+		for _, d := range s.domains {
 			members = append(members, rendezvous.Member{ID: d})
 		}
-		if slices.ContainsFunc(rendezvous.Rank(server, members, rest), func(m rendezvous.Member) bool { return m.ID == domain }) {
-			each++
+		if slices.ContainsFunc(rendezvous.Rank(server, members, remainder), func(m rendezvous.Member) bool { return m.ID == domain }) {
+			perDomain++
 		}
 	}
-	return each
+	return perDomain
 }
 
-// in returns the chosen hosts of one domain.
-func (c *chooser) in(server, domain string, n int) []Host {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	key := choiceKey{server, domain, n}
-	if hosts, ok := c.chosen[key]; ok {
+// inDomain returns the part of a server's subset of n hosts that lies in one domain.
+func (s *subsetter) inDomain(server, domain string, n int) []Host {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	key := subsetKey{server, domain, n}
+	if hosts, ok := s.subsets[key]; ok {
 		return hosts
 	}
 	hosts := []Host{}
-	for _, m := range rendezvous.Rank(server, c.members[domain], c.quota(server, domain, n)) {
-		i := slices.IndexFunc(c.hosts[domain], func(h Host) bool { return h.Name == m.ID })
-		hosts = append(hosts, c.hosts[domain][i])
+	for _, m := range rendezvous.Rank(server, s.members[domain], s.quota(server, domain, n)) {
+		i := slices.IndexFunc(s.hosts[domain], func(h Host) bool { return h.Name == m.ID })
+		hosts = append(hosts, s.hosts[domain][i])
 	}
-	c.chosen[key] = hosts
+	s.subsets[key] = hosts
 	return hosts
 }
 
-// all returns the chosen hosts of all domains, those near the server first.
-func (c *chooser) all(server discovery.Server, n int) []Host {
-	domains := slices.Clone(c.domains)
+// all returns a server's subset of n hosts, with the hosts of the server's own domain first.
+func (s *subsetter) all(server discovery.Server, n int) []Host {
+	domains := slices.Clone(s.domains)
 	slices.SortStableFunc(domains, func(a, b string) int {
 		return cmp.Compare(distance(a, server.Domain), distance(b, server.Domain))
 	})
 	var hosts []Host
 	for _, domain := range domains {
-		hosts = append(hosts, c.in(server.ID, domain, n)...)
+		hosts = append(hosts, s.inDomain(server.ID, domain, n)...)
 	}
 	return hosts
 }
 
+// distance returns 0 for equal domains and 1 for different ones.
 func distance(a, b string) int {
 	if a == b {
 		return 0
@@ -97,28 +100,28 @@
 	return 1
 }
 
-// Share is a host's part of a server.
+// Share describes how this host uses a server that it shares with other hosts.
 type Share struct {
-	// Conns is the number of connections that the host may open.
+	// Conns is the number of connections this host may open.
 	Conns int
 	// Hosts is the number of hosts that call the server.
 	Hosts int
-	// Cold is what the server takes from all hosts together while it is cold.
+	// Cold limits the requests that all hosts together send while the server is cold.
 	Cold limit.ColdBound
-	// hosts chooses among all hosts.
-	hosts *chooser
-	// relays are the hosts that call a shard; not nil for shards only.
+	// allHosts selects among all hosts.
+	allHosts *subsetter
+	// relays are the hosts that call a shard; nil for other servers.
 	relays []Host
-	// chooser chooses the hosts that call another server; nil where all do.
-	chooser *chooser
-	server  discovery.Server
+	// subset selects the hosts that call a server that is not a shard; nil if all hosts do.
+	subset *subsetter
+	server discovery.Server
 }
 
-// Callers returns the hosts that call the server, the nearest to it first; the others pass
-// their calls to one of these. Nil: every host calls it.
+// Callers returns the hosts that call the server directly, nearest first; all others forward
+// their calls to one of these. It returns nil if every host calls the server.
 func (s Share) Callers() []Host {
-	if s.chooser != nil {
-		return s.chooser.all(s.server, s.Hosts)
+	if s.subset != nil {
+		return s.subset.all(s.server, s.Hosts)
 	}
 	return s.relays
 }
@@ -126,26 +129,26 @@
 // ColdCallers returns the number of hosts that call the server while it is cold.
 func (s Share) ColdCallers() int { return s.Cold.Callers(s.Hosts) }
 
-// CallsCold reports whether a host calls the server itself while it is cold: one of a few
-// that the store names.
+// CallsCold reports whether a host is one of those that call the server directly while it is
+// cold. Only hosts with an entry in the store are.
 func (s Share) CallsCold(name, domain string) bool {
 	n := s.ColdCallers()
 	if s.relays != nil {
-		return isAmong(s.relays[:min(n, len(s.relays))], name)
+		return containsHost(s.relays[:min(n, len(s.relays))], name)
 	}
-	return s.hosts != nil && isAmong(s.hosts.in(s.server.ID, domain, n), name)
+	return s.allHosts != nil && containsHost(s.allHosts.inDomain(s.server.ID, domain, n), name)
 }
 
-// Calls reports whether a host calls the server itself.
+// Calls reports whether a host calls the server directly.
 func (s Share) Calls(name, domain string) bool {
-	among := s.relays
-	if s.chooser != nil {
-		among = s.chooser.in(s.server.ID, domain, s.Hosts)
+	callers := s.relays
+	if s.subset != nil {
+		callers = s.subset.inDomain(s.server.ID, domain, s.Hosts)
 	}
-	return among == nil || isAmong(among, name)
+	return callers == nil || containsHost(callers, name)
 }
 
-// isAmong reports whether a host is one of some.
-func isAmong(hosts []Host, name string) bool {
+// containsHost reports whether hosts contains a host of the given name.
+func containsHost(hosts []Host, name string) bool {
 	return slices.ContainsFunc(hosts, func(h Host) bool { return h.Name == name })
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -15,95 +15,100 @@
 	"github.com/mallowgap/mallowgap/limit"
 )
 
-// Config is what a Control is made of.
+// Config holds the dependencies and settings of a Control.
 type Config struct {
-	// Self is the entry of this host.
+	// Self is the store entry of this host.
 	Self     *relaypb.Host
 	Settings *settingspb.GatewayStoreSection
-	// Seeds are addresses of hosts that may be asked before any is known.
+	// Seeds are addresses of hosts to ask while no other host is known.
 	Seeds []string
-	// RelaysPerDomain is the number of hosts of a failure domain that call its servers.
+	// RelaysPerDomain is the number of hosts in each failure domain that call the servers
+	// there.
 	RelaysPerDomain int
-	// Cold is what a cold server takes, but for what its service says of it.
+	// Cold limits the requests to a cold server. Its PerSecond is replaced by the setting of
+	// the server's service.
 	Cold     limit.ColdBound
 	Store    Store
 	Peers    Peers
 	Listener Listener
-	// Suspended tells for how long the machine has been suspended since it started; nil is
+	// Suspended returns how long the machine has been suspended since boot. It defaults to
 	// suspend.Total.
 	Suspended func() time.Duration
 	Log       zerolog.Logger
 }
 
-// Control follows the store and the peers of one host.
+// Control keeps one host in sync with the store and its peers.
 type Control struct {
-	name     string
-	self     *relaypb.Host
-	settings *settingspb.GatewayStoreSection
-	seeds    []string
-	store    Store
-	peers    Peers
-	log      zerolog.Logger
-	health   *PeerHealth
-	state    *state
-	announce *announcer
-	records  *recorder
-	// word tells peers what records write, while the store is away.
-	word            *recorder
+	name      string
+	self      *relaypb.Host
+	settings  *settingspb.GatewayStoreSection
+	seeds     []string
+	store     Store
+	peers     Peers
+	log       zerolog.Logger
+	health    *PeerHealth
+	state     *state
+	announcer *announcer
+	records   *recorder
+	// peerRecords sends quarantine records to peers while the store is unreachable.
+	peerRecords     *recorder
 	relaysPerDomain int
 	packer          entryPacker
 	rereads         *metrics.Counter
-	// suspended tells for how long the machine has been suspended; awake has a value when it
-	// has woken.
+	// suspended returns how long the machine has been suspended since boot; resumed receives
+	// a value after each suspension.
 	suspended func() time.Duration
-	awake     chan struct{}
-
-	// loaded, followed and heldOff belong to the goroutine that follows the store.
-	loaded   bool
-	followed uint64
-	// leaderFailures counts the hosts in a row that could not be followed.
+	resumed   chan struct{}
+
+	// The fields down to cooldownUntil belong to the goroutine of followStore. loaded is set
+	// once a complete state has been read; watchedRevision is the revision up to which
+	// changes have been received.
+	loaded          bool
+	watchedRevision uint64
+	// leaderFailures counts consecutive leaders that failed.
 	leaderFailures int
-	// introduced tells that peers were asked for others after the first reading.
-	introduced bool
-	// heldOff tells until when a host, by its address, is not followed.
-	heldOff map[string]time.Time
+	// discovered is set once peers have been asked for a leader after the first complete
+	// read.
+	discovered bool
+	// cooldownUntil is the time until which a host, by address, is not chosen as leader.
+	cooldownUntil map[string]time.Time
 
 	// preferred is the address of a host that reaches the store while others do not;
-	// better has a value when it changes.
-	preferred atomic.Pointer[string]
-	better    chan struct{}
+	// preferredChanged receives a value when it changes.
+	preferred        atomic.Pointer[string]
+	preferredChanged chan struct{}
 
-	duties sync.WaitGroup
-	// leave is closed when a planned stop begins.
+	tasks sync.WaitGroup
+	// leave is closed when a planned shutdown begins.
 	leave     chan struct{}
 	leaveOnce sync.Once
 }
 
-// New returns a Control; Start must follow.
+// New returns a Control. Call Start to run it.
 func New(config Config) *Control {
 	c := &Control{
 		name: config.Self.GetName(), self: config.Self, settings: config.Settings, seeds: config.Seeds,
 		store: config.Store, peers: config.Peers, log: config.Log, health: newPeerHealth(),
-		state:   newState(config.Store, config.Listener, hostOf(config.Self), config.RelaysPerDomain, config.Log),
-		rereads: metrics.GetOrCreateCounter("mallowgap_store_rereads_total"),
-		heldOff: map[string]time.Time{},
-		better:  make(chan struct{}, 1),
-		leave:   make(chan struct{}),
-		awake:   make(chan struct{}, 1), suspended: config.Suspended,
+		state:            newState(config.Store, config.Listener, hostFromEntry(config.Self), config.RelaysPerDomain, config.Log),
+		rereads:          metrics.GetOrCreateCounter("mallowgap_store_rereads_total"),
+		cooldownUntil:    map[string]time.Time{},
+		preferredChanged: make(chan struct{}, 1),
+		leave:            make(chan struct{}),
+		resumed:          make(chan struct{}, 1), suspended: config.Suspended,
 	}
 	if c.suspended == nil {
 		c.suspended = suspend.Total
 	}
-	c.state.cold = config.Cold
-	c.announce = newAnnouncer(c, config.Settings.GetLease().AsDuration())
+	c.state.coldBound = config.Cold
+	c.announcer = newAnnouncer(c, config.Settings.GetLease().AsDuration())
 	c.relaysPerDomain = config.RelaysPerDomain
 	count := func() int { return c.View().Count }
 	c.records = newRecorder(c.writeRecords, config.Log, count)
-	c.word = newRecorder(c.tellPeers, config.Log, count)
+	c.peerRecords = newRecorder(c.tellPeers, config.Log, count)
 	return c
 }
 
-// Start starts the control goroutine and the duties. They end with ctx.
+// Start starts the goroutines of the Control. They run until ctx is done.
 func (c *Control) Start(ctx context.Context) {
 	announceCtx, stopAnnouncing := context.WithCancel(ctx)
 	go func() {
@@ -114,34 +119,35 @@
 		}
 	}()
 	go c.state.run(ctx)
-	c.duty(func() { c.followStore(ctx) })
-	c.duty(func() { c.followPeers(ctx) })
-	c.duty(func() { c.probePeers(ctx) })
-	c.duty(func() { c.announce.run(announceCtx) })
-	c.duty(func() { c.records.run(ctx) })
-	c.duty(func() { c.word.run(ctx) })
-	c.duty(func() { c.watchClock(ctx) })
+	c.spawn(func() { c.followStore(ctx) })
+	c.spawn(func() { c.pollPeers(ctx) })
+	c.spawn(func() { c.probePeers(ctx) })
+	c.spawn(func() { c.announcer.run(announceCtx) })
+	c.spawn(func() { c.records.run(ctx) })
+	c.spawn(func() { c.peerRecords.run(ctx) })
+	c.spawn(func() { c.detectSuspensions(ctx) })
 }
 
-func (c *Control) duty(run func()) {
-	c.duties.Add(1)
+// spawn runs a task in a goroutine that Wait waits for.
+func (c *Control) spawn(run func()) {
+	c.tasks.Add(1)
 	go func() {
-		defer c.duties.Done()
+		defer c.tasks.Done()
 		run()
 	}()
 }
 
-// View returns the published state.
+// View returns the current published state.
 func (c *Control) View() *View { return c.state.view() }
 
-// Known is closed once the configuration and the servers are known.
-func (c *Control) Known() <-chan struct{} { return c.state.started }
+// Known returns a channel that is closed once the configuration and the servers are known.
+func (c *Control) Known() <-chan struct{} { return c.state.initialized }
 
-// Health tells which peers answer.
+// Health returns the tracker of unresponsive peers.
 func (c *Control) Health() *PeerHealth { return c.health }
 
-// Leave begins a planned stop: the host is no longer ready, and peers no longer
-// find it.
+// Leave begins a planned shutdown: the host stops being ready and its entry is removed from
+// the store.
 func (c *Control) Leave(ctx context.Context) {
 	c.state.do(ctx, func() {
 		c.state.stopping = true
@@ -150,5 +156,5 @@
 	c.leaveOnce.Do(func() { close(c.leave) })
 }
 
-// Wait waits for the duties, which end with the context of Start.
-func (c *Control) Wait() { c.duties.Wait() }
+// Wait waits until the goroutines of Start have ended.
+func (c *Control) Wait() { c.tasks.Wait() }
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -11,51 +11,49 @@
 )
 
 const (
-	// heartbeat is the interval at which a follower hears from the host that it
-	// follows although nothing changed.
-	heartbeat = 400 * time.Millisecond
-	// silenceLimit is for how long a followed host may be silent: three
-	// heartbeats. With one call of the store after it, a change is still in
-	// force everywhere within the three seconds that the users allow.
-	silenceLimit = 3 * heartbeat
-	// ageLimit bounds how long ago a followed host heard from the store: the
-	// longest watch and what it may take to notice that it hangs.
-	ageLimit = 1500 * time.Millisecond
-	// probeEvery is the mean interval at which a follower asks the store itself
-	// while the host that it follows says that the store is lost.
-	probeEvery = 2 * time.Second
-	// storeProbers is the number of hosts of a region, beside the one that the others
-	// follow, that ask the store while it is lost.
+	// heartbeatInterval is the interval at which a leader sends a message to its followers
+	// when there are no changes.
+	heartbeatInterval = 400 * time.Millisecond
+	// leaderTimeout is how long a leader may be silent. Together with one store call, it
+	// keeps the time until a change is in effect everywhere within three seconds.
+	leaderTimeout = 3 * heartbeatInterval
+	// maxStaleness is the maximum time since a leader last heard from the store: the longest
+	// watch, and the time to notice that a watch hangs.
+	maxStaleness = 1500 * time.Millisecond
+	// probeInterval is the mean interval at which a follower probes the store while its
+	// leader reports it lost.
+	probeInterval = 2 * time.Second
+	// storeProbers is the number of hosts per region, besides the leader, that probe the
+	// store at that interval while it is lost.
 	storeProbers = 3
-	// heldOffFor is for how long a host that lost the store, which others reach,
-	// is not followed, up to half as long again at random. The store may turn a
-	// host away for many seconds; to find out costs a call or two.
-	heldOffFor = 4 * time.Second
-	// probeWait is the wait of such a question, and of one after a suspension.
-	probeWait = time.Millisecond
+	// leaderCooldown is the minimum time for which a host that lost a reachable store is not
+	// chosen as leader; up to half as much is added at random. Retrying costs store calls,
+	// and the store may reject the host for many seconds.
+	leaderCooldown = 4 * time.Second
+	// probeWatchWait is the wait of a watch that only checks whether the store responds.
+	probeWatchWait = time.Millisecond
 )
 
 var (
-	errLeaderSilent = errors.New("nothing was heard from it")
-	errLeaderStale  = errors.New("it has not heard from the store for too long")
-	errLeaderCut    = errors.New("it lost the store, which answers here")
-	errWoke         = errors.New("this machine was suspended: its connections may be silent for good")
-	errLeaving      = errors.New("this host stops: the other is told so")
+	errLeaderSilent      = errors.New("no message from the leader within the timeout")
+	errLeaderStale       = errors.New("the leader's state is stale: it has not heard from the store for too long")
+	errLeaderPartitioned = errors.New("the leader lost the store, which is reachable from other hosts")
+	errResumed           = errors.New("this machine was suspended: open connections may be dead")
+	errLeaving           = errors.New("this host is shutting down: notifying the leader")
 )
 
-// leader returns the host of this region that this host follows. It returns
-// false where this host is to read the store: it is the first of the region, in
-// the order of strength and name, of those that answer. A host follows only
-// hosts that come before it, so that no two follow each other, also while it
-// does not know its own entry.
+// leader returns the host of this region to follow. It returns false if this host is to read
+// the store itself, because it ranks first, by strength and name, among the hosts that
+// respond. A host only follows hosts that rank before it, even while its own entry is
+// missing, so that no two hosts follow each other.
 func (c *Control) leader() (Host, bool) {
 	if !c.loaded {
 		return Host{}, false
 	}
 	var first Host
 	found := false
-	for _, h := range c.beforeMe() {
-		if c.health.Suspected(h.Address) || time.Now().Before(c.heldOff[h.Address]) {
+	for _, h := range c.higherRanked() {
+		if c.health.Suspected(h.Address) || time.Now().Before(c.cooldownUntil[h.Address]) {
 			continue
 		}
 		if preferred := c.preferred.Load(); preferred != nil && *preferred == h.Address {
@@ -68,8 +66,8 @@
 	return first, found
 }
 
-// beforeMe returns the hosts of the region that come before this one, in their order.
-func (c *Control) beforeMe() []Host {
+// higherRanked returns the hosts of the region that rank before this one, in order.
+func (c *Control) higherRanked() []Host {
 	hosts := c.View().inRegion(c.self.GetRegion())
 	self := Host{Name: c.name, Strength: c.self.GetStrength()}
 	i := slices.IndexFunc(hosts, func(h Host) bool { return compareHosts(h, self) >= 0 })
@@ -79,36 +77,36 @@
 	return hosts[:i]
 }
 
-// leaderFailed takes in why a host is followed no longer, and reports whether another
-// one is to be tried before the store is read. One is: all hosts of a region lose the
-// same one, and one reader is enough. A second that fails costs time, which a change of
-// the configuration does not have.
+// leaderFailed handles the failure of a leader, and reports whether to try another one before
+// reading the store. It is worth one try, because all hosts of a region lose the same leader
+// at once and one of them reading the store is enough. A second try would delay configuration
+// changes too long.
 func (c *Control) leaderFailed(leader Host, err error) bool {
-	if errors.Is(err, errLeaving) || errors.Is(err, errWoke) {
+	if errors.Is(err, errLeaving) || errors.Is(err, errResumed) {
 		return true
 	}
 	c.leaderFailures++
-	c.log.Info().Err(err).Str("peer", leader.Name).Int("in_a_row", c.leaderFailures).Msg("the host that was followed is not up to date")
-	if errors.Is(err, errLeaderCut) || errors.Is(err, errLeaderStale) {
-		c.holdOff(leader.Address, time.Now())
+	c.log.Info().Err(err).Str("peer", leader.Name).Int("in_a_row", c.leaderFailures).Msg("leader failed")
+	if errors.Is(err, errLeaderPartitioned) || errors.Is(err, errLeaderStale) {
+		c.startCooldown(leader.Address, time.Now())
 	} else {
 		c.Suspect(leader.Address, time.Now())
 	}
 	return c.loaded && c.leaderFailures == 1
 }
 
-// holdOff keeps this host from following one that lost the store, or of which
-// nothing new was heard.
-func (c *Control) holdOff(address string, now time.Time) {
-	for other, until := range c.heldOff {
+// startCooldown excludes a host that lost the store or is stale from being chosen as leader
+// for a while.
+func (c *Control) startCooldown(address string, now time.Time) {
+	for other, until := range c.cooldownUntil {
 		if !now.Before(until) {
-			delete(c.heldOff, other)
+			delete(c.cooldownUntil, other)
 		}
 	}
-	c.heldOff[address] = now.Add(heldOffFor + rand.N(heldOffFor/2))
+	c.cooldownUntil[address] = now.Add(leaderCooldown + rand.N(leaderCooldown/2))
 }
 
-// inRegion returns the hosts of a region, the strongest first.
+// inRegion returns the hosts of a region, strongest first.
 func (v *View) inRegion(region string) []Host {
 	var hosts []Host
 	for _, group := range v.Hosts {
@@ -122,7 +120,7 @@
 	return hosts
 }
 
-// isLeaving reports whether a planned stop has begun.
+// isLeaving reports whether a planned shutdown has begun.
 func (c *Control) isLeaving() bool {
 	select {
 	case <-c.leave:
@@ -132,12 +130,13 @@
 	}
 }
 
-// followLeader takes in what another host learns, until that host is of no use.
+// followLeader applies the updates of a leader until the leader fails or another one is
+// preferred. It returns the reason.
 func (c *Control) followLeader(ctx context.Context, leader Host) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer c.announce.setFollowed(false)
-	request := &relaypb.FollowRequest{Revision: c.followed, Packs: true, Host: c.self}
+	defer c.announcer.setDelegated(false)
+	request := &relaypb.FollowRequest{Revision: c.watchedRevision, Packs: true, Host: c.self}
 	leave := c.leave
 	if c.isLeaving() {
 		request.Leaving, leave = true, nil
@@ -157,24 +156,24 @@
 		select {
 		case reply := <-received:
 			if first && reply.GetStoreLost() && c.View().StoreLost.IsZero() {
-				// Until now the store was heard by another way. To take this one's word would
-				// keep entries that lapse for 2.2 s here, each 4 to 6 s, and cost a call.
-				return errLeaderCut
+				// This host still reaches the store by another way. Marking it as lost here
+				// would delay the expiry of entries and cost a store call.
+				return errLeaderPartitioned
 			}
-			if err := c.takeUpdates(ctx, reply, &nextProbe); err != nil {
+			if err := c.applyReply(ctx, reply, &nextProbe); err != nil {
 				return err
 			}
 		case err := <-failed:
 			return err
 		case <-leave:
 			return errLeaving
-		case <-c.awake:
-			return errWoke
-		case <-c.better:
+		case <-c.resumed:
+			return errResumed
+		case <-c.preferredChanged:
 			if preferred := c.preferred.Load(); preferred != nil && *preferred != leader.Address {
-				return errLeaderCut
+				return errLeaderPartitioned
 			}
-		case <-time.After(silenceLimit):
+		case <-time.After(leaderTimeout):
 			return errLeaderSilent
 		case <-ctx.Done():
 			return ctx.Err()
@@ -182,11 +181,11 @@
 	}
 }
 
-// takeUpdates takes in one message of the host that is followed.
-func (c *Control) takeUpdates(ctx context.Context, reply *relaypb.FollowReply, nextProbe *time.Time) error {
+// applyReply applies one message of the leader.
+func (c *Control) applyReply(ctx context.Context, reply *relaypb.FollowReply, nextProbe *time.Time) error {
 	now := time.Now()
 	c.leaderFailures = 0
-	c.announce.setFollowed(reply.GetKeepsEntry())
+	c.announcer.setDelegated(reply.GetKeepsEntry())
 	age := time.Duration(reply.GetAgeUs()) * time.Microsecond
 	entries, err := unpackEntries(reply.GetPackedEntries(), reply.GetEntries())
 	if err != nil {
@@ -194,90 +193,89 @@
 	}
 	reading := Reading{Revision: reply.GetRevision(), Entries: entries}
 	c.state.do(ctx, func() {
-		c.state.storeIs(!reply.GetStoreLost(), errLeaderStale, now.Add(-age), now)
+		c.state.setStoreStatus(!reply.GetStoreLost(), errLeaderStale, now.Add(-age), now)
 		if reply.GetComplete() {
 			c.state.applyReading(reading, now)
 		} else {
 			c.state.applyChanges(reading, now)
 		}
 	})
-	c.followed = max(c.followed, reading.Revision)
+	c.watchedRevision = max(c.watchedRevision, reading.Revision)
 	if reply.GetStoreLost() {
 		return c.probeStore(ctx, now, nextProbe)
 	}
 	*nextProbe = time.Time{}
-	if age > ageLimit {
+	if age > maxStaleness {
 		return errLeaderStale
 	}
 	return nil
 }
 
-// probeGap returns the time between two questions of this host to a store that the
-// host it follows has lost, and whether it asks at once. So about as many hosts of a
-// region ask as there are storeProbers, however many it has: of 195 hosts all asked,
-// ten times each in an outage of six seconds, counted by the store. The others learn
-// from these.
-func (c *Control) probeGap() (gap time.Duration, first bool) {
-	gap = probeEvery/2 + rand.N(probeEvery)
+// nextProbeDelay returns the delay until this host's next probe of a store that its leader
+// has lost, and whether it probes immediately. The delays keep the total rate of probes in a
+// region near that of storeProbers hosts, whatever the number of hosts. Other hosts learn the
+// result from them.
+func (c *Control) nextProbeDelay() (delay time.Duration, immediate bool) {
+	delay = probeInterval/2 + rand.N(probeInterval)
 	hosts := c.View().inRegion(c.self.GetRegion())
 	rank := slices.IndexFunc(hosts, func(h Host) bool { return h.Name == c.name })
 	if 0 <= rank && rank <= storeProbers {
-		return gap, true
+		return delay, true
 	}
-	return gap * time.Duration(max(1, len(hosts)/storeProbers)), false
+	return delay * time.Duration(max(1, len(hosts)/storeProbers)), false
 }
 
-// probeStore asks the store from time to time whether it is lost only for the
-// host that is followed.
+// probeStore checks from time to time whether the store is lost only for the leader, and
+// returns errLeaderPartitioned if it is.
 func (c *Control) probeStore(ctx context.Context, now time.Time, next *time.Time) error {
-	gap, first := c.probeGap()
-	if next.IsZero() && !first {
-		*next = now.Add(gap)
+	delay, immediate := c.nextProbeDelay()
+	if next.IsZero() && !immediate {
+		*next = now.Add(delay)
 	}
 	if now.Before(*next) {
 		return nil
 	}
-	*next = now.Add(gap)
-	err := c.watch(ctx, probeWait, c.settings.GetWatchSlack().AsDuration())
+	*next = now.Add(delay)
+	err := c.watch(ctx, probeWatchWait, c.settings.GetWatchSlack().AsDuration())
 	if errors.Is(err, ErrCompacted) {
-		c.loaded = false // The store answers, but must be read again.
-		return errLeaderCut
+		c.loaded = false // The store responds, but must be read from scratch.
+		return errLeaderPartitioned
 	}
 	if err != nil {
-		return nil // The store is lost here too; what is known stays in force.
+		return nil // The store is lost here too; keep the last known state.
 	}
-	return errLeaderCut
+	return errLeaderPartitioned
 }
 
-// Follow implements the relay protocol.
-func (c *Control) Follow(m *relaypb.FollowRequest, stream relaypb.DRPCRelay_FollowStream) error {
+// Follow implements the relay protocol. It streams updates to a follower.
+func (c *Control) Follow(request *relaypb.FollowRequest, stream relaypb.DRPCRelay_FollowStream) error {
 	ctx := stream.Context()
-	known := m.GetRevision()
-	if h := m.GetHost(); h != nil {
-		defer c.announce.join(h, m.GetLeaving())()
+	known := request.GetRevision()
+	if h := request.GetHost(); h != nil {
+		defer c.announcer.addFollower(h, request.GetLeaving())()
 	}
 	for ctx.Err() == nil {
-		var n updates
-		c.state.do(ctx, func() { n = c.state.updatesSince(known, time.Now()) })
+		var u updates
+		c.state.do(ctx, func() { u = c.state.updatesSince(known, time.Now()) })
 		if ctx.Err() != nil {
 			break
 		}
 		reply := &relaypb.FollowReply{
-			Revision: max(n.Revision, known), Complete: n.complete,
-			AgeUs: uint64(max(n.age, 0).Microseconds()), StoreLost: n.storeLost,
-			KeepsEntry: c.announce.keeps(time.Now()),
+			Revision: max(u.Revision, known), Complete: u.complete,
+			AgeUs: uint64(max(u.age, 0).Microseconds()), StoreLost: u.storeLost,
+			KeepsEntry: c.announcer.canKeepEntries(time.Now()),
 		}
 		var err error
-		if reply.Entries, reply.PackedEntries, err = c.entriesFor(m.GetPacks(), known, n); err != nil {
+		if reply.Entries, reply.PackedEntries, err = c.entriesFor(request.GetPacks(), known, u); err != nil {
 			return err
 		}
 		if err := stream.Send(reply); err != nil {
 			return err
 		}
 		known = reply.Revision
-		timer := time.NewTimer(heartbeat)
+		timer := time.NewTimer(heartbeatInterval)
 		select {
-		case <-n.changed:
+		case <-u.changed:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
--- a/internal/control/follow_test.go
+++ b/internal/control/follow_test.go
@@ -8,8 +8,8 @@
 	"github.com/mallowgap/mallowgap/api/relaypb"
 )
 
-// A host that did not know its own entry yet once followed one that comes after
-// it and followed it in turn: neither read the store for 1.5 s.
+// Checks that a host whose own entry is not known yet does not follow a host that ranks after
+// it, which could follow it in turn.
 func TestNoTwoHostsFollowEachOther(t *testing.T) {
 	c := New(Config{Self: &relaypb.Host{Name: "host1", Domain: "a1", Region: "a", Strength: 1}})
 	c.loaded = true
--- a/internal/control/peerhealth.go
+++ b/internal/control/peerhealth.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// PeerHealth remembers which peers did not answer. A suspected peer gets no
-// requests until it has answered a probe: requests are no probes.
+// PeerHealth tracks peers that do not respond. A suspected peer gets no requests until it has
+// answered a probe; requests are not used as probes.
 type PeerHealth struct {
 	mu       sync.Mutex
 	failures map[string]int
-	// probeAt is when a suspected peer is probed next.
-	probeAt map[string]time.Time
-	running map[string]int
+	// probeAt is when a suspected peer is probed next; peers without a value are not
+	// suspected.
+	probeAt  map[string]time.Time
+	inFlight map[string]int
 }
 
 const (
-	// firstSuspicion is after what time a peer that did not answer is probed;
-	// it doubles with each further failure up to longestSuspicion.
-	firstSuspicion   = 500 * time.Millisecond
-	longestSuspicion = 4 * time.Second
+	// minProbeDelay is the delay before the first probe of a suspected peer. It doubles with
+	// each failure up to maxProbeDelay.
+	minProbeDelay = 500 * time.Millisecond
+	maxProbeDelay = 4 * time.Second
 )
 
 func newPeerHealth() *PeerHealth {
-	return &PeerHealth{failures: map[string]int{}, probeAt: map[string]time.Time{}, running: map[string]int{}}
+	return &PeerHealth{failures: map[string]int{}, probeAt: map[string]time.Time{}, inFlight: map[string]int{}}
 }
 
-// Choose returns the host with the fewest calls running of those not
-// suspected, or false where there is none.
+// Choose returns the unsuspected host with the fewest calls in flight, or false if there is
+// none.
 func (p *PeerHealth) Choose(hosts []Host, self string) (Host, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,14 +37,14 @@
 		if _, suspected := p.probeAt[h.Address]; suspected || h.Name == self {
 			continue
 		}
-		if !found || p.running[h.Address] < p.running[best.Address] {
+		if !found || p.inFlight[h.Address] < p.inFlight[best.Address] {
 			best, found = h, true
 		}
 	}
 	return best, found
 }
 
-// Suspected reports whether a peer did not answer and was not heard from since.
+// Suspected reports whether a peer failed to respond and has not been heard from since.
 func (p *PeerHealth) Suspected(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,14 +52,14 @@
 	return suspected
 }
 
-// due returns the suspected peers that are to be probed at now. Those that keep
-// does not know are forgotten.
-func (p *PeerHealth) due(now time.Time, keep func(address string) bool) []string {
+// due returns the suspected peers to be probed now. It forgets peers for which known is
+// false.
+func (p *PeerHealth) due(now time.Time, known func(address string) bool) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var due []string
 	for address, at := range p.probeAt {
-		if !keep(address) {
+		if !known(address) {
 			delete(p.probeAt, address)
 			delete(p.failures, address)
 		} else if !now.Before(at) {
@@ -68,7 +69,7 @@
 	return due
 }
 
-// Answered notes that a peer was heard from.
+// Answered records that a peer responded.
 func (p *PeerHealth) Answered(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,28 +77,30 @@
 	delete(p.probeAt, address)
 }
 
+// Started records the start of a call to a peer.
 func (p *PeerHealth) Started(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.running[address]++
+	p.inFlight[address]++
 }
 
+// Ended records the end of a call to a peer.
 func (p *PeerHealth) Ended(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.running[address]--; p.running[address] <= 0 {
-		delete(p.running, address)
+	if p.inFlight[address]--; p.inFlight[address] <= 0 {
+		delete(p.inFlight, address)
 	}
 }
 
-// suspect keeps requests from a peer until it answers a probe.
+// suspect withholds requests from a peer until it answers a probe.
 func (p *PeerHealth) suspect(address string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Before(p.probeAt[address]) {
 		return
 	}
-	wait := min(firstSuspicion<<min(p.failures[address], 8), longestSuspicion)
+	delay := min(minProbeDelay<<min(p.failures[address], 8), maxProbeDelay)
 	p.failures[address]++
-	p.probeAt[address] = now.Add(wait)
+	p.probeAt[address] = now.Add(delay)
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -11,44 +11,44 @@
 	"github.com/mallowgap/mallowgap/internal/pause"
 )
 
-// followPeers asks peers for what they know while the store is away or has not
-// answered since the start, so that a host still learns of changes, or starts.
-func (c *Control) followPeers(ctx context.Context) {
-	asked, informed := time.Time{}, ""
+// pollPeers asks peers for their state while the store is unreachable, or until it has first
+// responded, so that a host still learns of changes and can start.
+func (c *Control) pollPeers(ctx context.Context) {
+	lastPoll, preferred := time.Time{}, ""
 	for ctx.Err() == nil {
-		pause.For(ctx, firstPeerPoll)
+		pause.For(ctx, peerCheckInterval)
 		v := c.View()
 		if v.StoreLost.IsZero() && v.Revision > 0 {
 			continue
 		}
-		if v.Revision > 0 && time.Since(asked) < peerPoll {
+		if v.Revision > 0 && time.Since(lastPoll) < minPeerPollInterval {
 			continue
 		}
-		asked = time.Now()
-		informed = c.askPeers(ctx, informed)
+		lastPoll = time.Now()
+		preferred = c.queryPeers(ctx, preferred)
 	}
 }
 
-// askPeers asks peers until one has heard from the store of late, the one that had the
-// last time first, and returns its address.
-func (c *Control) askPeers(ctx context.Context, informed string) string {
-	addresses := c.likelyInformed(c.View())
+// queryPeers queries peers until one has recently heard from the store, and returns its
+// address. It starts with preferred, the result of the last query.
+func (c *Control) queryPeers(ctx context.Context, preferred string) string {
+	addresses := c.peerCandidates(c.View())
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	if informed != "" {
-		addresses = append([]string{informed}, addresses...)
+	if preferred != "" {
+		addresses = append([]string{preferred}, addresses...)
 	}
-	for _, address := range addresses[:min(len(addresses), maxAsked)] {
-		if c.askPeer(ctx, address, c.View().Revision) {
+	for _, address := range addresses[:min(len(addresses), maxPeersQueried)] {
+		if c.queryPeer(ctx, address, c.View().Revision) {
 			return address
 		}
 	}
 	return ""
 }
 
-// probePeers asks suspected peers whether they are back until ctx ends.
+// probePeers probes suspected peers until ctx is done.
 func (c *Control) probePeers(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, probeTick)
+		pause.For(ctx, probeCheckInterval)
 		v := c.View()
 		for _, address := range c.health.due(time.Now(), v.knowsAddress) {
 			go c.probePeer(ctx, address)
@@ -56,14 +56,15 @@
 	}
 }
 
-// Suspect keeps requests from a peer until it answers a probe. The probe comes
-// on a new connection, as those that are open may have gone silent for good.
+// Suspect withholds requests from a peer until it answers a probe. The probe uses a new
+// connection, because open ones may be dead.
 func (c *Control) Suspect(address string, now time.Time) {
 	c.health.suspect(address, now)
 	c.peers.Forget(address)
 }
 
-// probePeer asks for nothing newer than any revision: only the answer counts.
+// probePeer requests changes newer than any revision: only the fact that the peer responds
+// matters.
 func (c *Control) probePeer(ctx context.Context, address string) {
 	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -72,14 +73,14 @@
 		return
 	}
 	c.health.Answered(address)
-	c.log.Info().Str("peer", address).Msg("peer answers again")
+	c.log.Info().Str("peer", address).Msg("peer responds again")
 }
 
-// likelyInformed returns the addresses of hosts that are likely to reach the store where
-// any does: the first of each region, or else the seeds.
-func (c *Control) likelyInformed(v *View) []string {
+// peerCandidates returns the addresses of hosts that are likely to reach the store if any
+// does: the highest-ranked hosts of each region, or the seeds if none are known.
+func (c *Control) peerCandidates(v *View) []string {
 	var addresses []string
-	for _, region := range slices.Concat(v.farRegions, []string{c.self.GetRegion()}) {
+	for _, region := range slices.Concat(v.remoteRegions, []string{c.self.GetRegion()}) {
 		hosts := v.inRegion(region)
 		for _, h := range hosts[:min(len(hosts), storeProbers+1)] {
 			if h.Name != c.name {
@@ -93,68 +94,68 @@
 	return addresses
 }
 
-// askPeer takes in what a peer knows beyond a revision, and reports whether the peer has
-// heard from the store of late.
-func (c *Control) askPeer(ctx context.Context, address string, known uint64) bool {
+// queryPeer applies the changes a peer has since a revision, and reports whether the peer has
+// recently heard from the store.
+func (c *Control) queryPeer(ctx context.Context, address string, known uint64) bool {
 	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	reply, err := c.peers.State(callCtx, address, &relaypb.StateRequest{Revision: known, Packs: true})
 	if err != nil {
-		c.log.Debug().Err(err).Str("peer", address).Msg("peer could not be asked")
+		c.log.Debug().Err(err).Str("peer", address).Msg("failed to query peer")
 		return false
 	}
 	age := time.Duration(reply.GetAgeUs()) * time.Microsecond
-	fresh := age > 0 && age <= ageLimit && !reply.GetStoreLost()
+	fresh := age > 0 && age <= maxStaleness && !reply.GetStoreLost()
 	if fresh && !c.View().StoreLost.IsZero() {
-		c.prefer(address)
+		c.preferLeader(address)
 	}
 	if reply.GetRevision() <= known {
 		return fresh
 	}
 	entries, err := unpackEntries(reply.GetPackedEntries(), reply.GetEntries())
 	if err != nil {
-		c.log.Error().Err(err).Str("peer", address).Msg("what a peer told is left out")
+		c.log.Error().Err(err).Str("peer", address).Msg("ignoring invalid reply of a peer")
 		return false
 	}
 	reading := Reading{Revision: reply.GetRevision(), Entries: entries}
-	c.log.Info().Str("peer", address).Uint64("revision", reading.Revision).Uint64("known", known).Msg("learned from a peer")
+	c.log.Info().Str("peer", address).Uint64("revision", reading.Revision).Uint64("known", known).Msg("state updated from a peer")
 	c.state.do(ctx, func() { c.state.applyReading(reading, time.Now()) })
 	return fresh
 }
 
-// prefer lets this host, which has lost the store, follow one that reaches it, where that
-// is one of the region that comes before it.
-func (c *Control) prefer(address string) {
-	before := slices.ContainsFunc(c.beforeMe(), func(h Host) bool { return h.Address == address })
-	if previous := c.preferred.Load(); !before || previous != nil && *previous == address {
+// preferLeader makes this host, which has lost the store, follow a host that reaches it, if that
+// host ranks before this one in its region.
+func (c *Control) preferLeader(address string) {
+	outranks := slices.ContainsFunc(c.higherRanked(), func(h Host) bool { return h.Address == address })
+	if previous := c.preferred.Load(); !outranks || previous != nil && *previous == address {
 		return
 	}
 	c.preferred.Store(&address)
-	nudge(c.better)
+	notify(c.preferredChanged)
 }
 
-// State implements the relay protocol.
+// State implements the relay protocol. It returns the state to a peer that polls.
 func (c *Control) State(ctx context.Context, request *relaypb.StateRequest) (*relaypb.StateReply, error) {
-	var n updates
+	var u updates
 	c.state.do(ctx, func() {
 		known := c.state.revision
 		if known > request.GetRevision() {
 			known = 0
 		}
-		n = c.state.updatesSince(known, time.Now())
+		u = c.state.updatesSince(known, time.Now())
 	})
 	if ctx.Err() != nil {
-		return nil, ctx.Err() // The action may still be about to run.
+		return nil, ctx.Err() // The action may still run and write to u.
 	}
-	entries, packed, err := c.entriesFor(request.GetPacks(), 0, n)
+	entries, packed, err := c.entriesFor(request.GetPacks(), 0, u)
 	if err != nil {
 		return nil, err
 	}
 	reply := &relaypb.StateReply{
-		Revision: n.Revision, Entries: entries, PackedEntries: packed,
-		StoreLost: n.storeLost, AgeUs: uint64(max(n.age, time.Microsecond).Microseconds()),
+		Revision: u.Revision, Entries: entries, PackedEntries: packed,
+		StoreLost: u.storeLost, AgeUs: uint64(max(u.age, time.Microsecond).Microseconds()),
 	}
-	if len(n.Entries) == 0 {
+	if len(u.Entries) == 0 {
 		reply.Revision = 0
 	}
 	return reply, nil
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -15,28 +15,27 @@
 )
 
 const (
-	// recordGap is the least time between two writes of one host for each host that there
-	// is, and leastRecordGap the least of all. The first write goes out at once, so that one
-	// request under which servers end is known everywhere within a second; where a power loss
-	// makes many requests suspect, 4,300 hosts make 100 writes a second together, a quarter of
-	// what the store takes.
-	recordGap      = 10 * time.Millisecond
-	leastRecordGap = 100 * time.Millisecond
-	// maxRecords bounds the records that wait to be written: those of an outage of the store.
-	// Any further one is left out, and counted.
-	maxRecords = 256
-	// claimTimeout bounds the claim of a trial, for which a request waits.
+	// recordInterval times the number of hosts is the minimum time between two writes of one
+	// host, so that all hosts together make at most 100 writes a second. minRecordInterval is
+	// the lower bound of that time. The first write is immediate, so that a request that
+	// crashes servers is known everywhere within a second.
+	recordInterval    = 10 * time.Millisecond
+	minRecordInterval = 100 * time.Millisecond
+	// maxPendingRecords limits the records queued while the store is unreachable. Records
+	// beyond it are dropped and counted.
+	maxPendingRecords = 256
+	// claimTimeout bounds Claim, which delays a request.
 	claimTimeout = 150 * time.Millisecond
 )
 
-// recordsLeftOut counts records that were not written because too many waited.
-var recordsLeftOut = metrics.GetOrCreateCounter("mallowgap_quarantine_records_left_out_total")
+// recordsDropped counts records dropped because too many were queued.
+var recordsDropped = metrics.GetOrCreateCounter("mallowgap_quarantine_records_left_out_total")
 
-// recorder writes what this host saw of requests under which servers ended to the store, from
-// which all other hosts learn it as they learn of servers. Entries stand without a lease: a
-// host that sees servers end may be gone a moment later.
+// recorder queues quarantine records of requests that crash servers and writes them in
+// batches. Other hosts receive them through the store, like server entries. The entries have
+// no lease, because a host that sees a server crash may itself stop at any time.
 type recorder struct {
-	// write hands on what is to be kept and what removed; after an error it is tried again.
+	// write writes and removes records; failed batches are retried.
 	write func(ctx context.Context, puts map[string][]byte, remove []string) error
 	log   zerolog.Logger
 	hosts func() int
@@ -47,22 +46,25 @@
 	removes map[string]bool
 }
 
+// newRecorder returns a recorder that writes with write; hosts returns the number of hosts.
 func newRecorder(write func(ctx context.Context, puts map[string][]byte, remove []string) error, log zerolog.Logger, hosts func() int) *recorder {
 	return &recorder{write: write, log: log, hosts: hosts, wake: make(chan struct{}, 1), puts: map[string][]byte{}, removes: map[string]bool{}}
 }
 
+// put queues a record to be written, or drops it if the queue is full.
 func (r *recorder) put(name string, value []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, waits := r.puts[name]; !waits && len(r.puts) >= maxRecords {
-		recordsLeftOut.Inc()
+	if _, queued := r.puts[name]; !queued && len(r.puts) >= maxPendingRecords {
+		recordsDropped.Inc()
 		return
 	}
 	r.puts[name] = value
 	delete(r.removes, name)
-	nudge(r.wake)
+	notify(r.wake)
 }
 
+// remove queues the removal of records.
 func (r *recorder) remove(names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,10 +72,10 @@
 		delete(r.puts, name)
 		r.removes[name] = true
 	}
-	nudge(r.wake)
+	notify(r.wake)
 }
 
-// run writes what waits until ctx ends.
+// run writes queued records until ctx is done.
 func (r *recorder) run(ctx context.Context) {
 	for {
 		select {
@@ -81,43 +83,43 @@
 		case <-ctx.Done():
 			return
 		}
-		puts, remove, more := r.next()
+		puts, remove, more := r.nextBatch()
 		if err := r.write(ctx, puts, remove); err != nil && ctx.Err() == nil {
-			r.log.Warn().Err(err).Int("records", len(puts)).Int("removed", len(remove)).Msg("records of requests in quarantine could not be written; it will be tried again")
-			r.again(puts, remove)
-			pause.For(ctx, retryLongest)
+			r.log.Warn().Err(err).Int("records", len(puts)).Int("removed", len(remove)).Msg("failed to write quarantine records: will retry")
+			r.requeue(puts, remove)
+			pause.For(ctx, maxRetryDelay)
 			continue
 		}
 		if more {
-			nudge(r.wake)
+			notify(r.wake)
 		}
-		pause.For(ctx, max(leastRecordGap, recordGap*time.Duration(r.hosts())))
+		pause.For(ctx, max(minRecordInterval, recordInterval*time.Duration(r.hosts())))
 	}
 }
 
-// next takes as much as the store takes in one call.
-func (r *recorder) next() (puts map[string][]byte, remove []string, more bool) {
+// nextBatch takes as many records from the queue as the store accepts in one call.
+func (r *recorder) nextBatch() (puts map[string][]byte, remove []string, more bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	puts = takeSome(r.puts, MaxWrites)
-	remove = slices.Collect(maps.Keys(takeSome(r.removes, MaxWrites-len(puts))))
+	puts = takeUpTo(r.puts, MaxWrites)
+	remove = slices.Collect(maps.Keys(takeUpTo(r.removes, MaxWrites-len(puts))))
 	return puts, remove, len(r.puts)+len(r.removes) > 0
 }
 
-// writeRecords writes records to the store.
+// writeRecords writes quarantine records to the store.
 func (c *Control) writeRecords(ctx context.Context, puts map[string][]byte, remove []string) error {
 	if len(puts)+len(remove) == 0 {
 		return nil
 	}
 	revision, err := c.store.Write(ctx, relaypb.EntryKind_QUARANTINE, 0, puts, remove)
 	if err == nil {
-		c.log.Info().Int("records", len(puts)).Int("removed", len(remove)).Uint64("revision", revision).Msg("records of requests in quarantine written")
+		c.log.Info().Int("records", len(puts)).Int("removed", len(remove)).Uint64("revision", revision).Msg("quarantine records written")
 	}
 	return err
 }
 
-// again puts back what could not be written, unless there is something newer.
-func (r *recorder) again(puts map[string][]byte, remove []string) {
+// requeue puts back records that could not be written, unless newer ones are queued.
+func (r *recorder) requeue(puts map[string][]byte, remove []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, value := range puts {
@@ -130,38 +132,38 @@
 			r.removes[name] = true
 		}
 	}
-	nudge(r.wake)
+	notify(r.wake)
 }
 
-// PutRecord lets the store keep what this host saw of a request under which servers ended.
-// It does not block.
+// PutRecord queues a quarantine record to be written to the store, and to be sent to peers
+// while the store is unreachable. It does not block.
 func (c *Control) PutRecord(name string, value []byte) {
 	c.records.put(name, value)
-	if c.storeAway() {
-		c.word.put(name, value)
+	if c.storeLost() {
+		c.peerRecords.put(name, value)
 	}
 }
 
-// RemoveRecords lets the store forget such records. It does not block.
+// RemoveRecords queues the removal of quarantine records. It does not block.
 func (c *Control) RemoveRecords(names []string) {
 	c.records.remove(names)
-	if c.storeAway() {
-		c.word.remove(names)
+	if c.storeLost() {
+		c.peerRecords.remove(names)
 	}
 }
 
-func (c *Control) storeAway() bool { return !c.View().StoreLost.IsZero() }
+func (c *Control) storeLost() bool { return !c.View().StoreLost.IsZero() }
 
-// Claim reports whether this host is the only one that may do what the name stands for. It
-// takes claimTimeout at the most.
+// Claim creates a named entry in the store, and reports whether this host is the one that
+// created it and thus may run the trial it stands for. It takes at most claimTimeout.
 func (c *Control) Claim(ctx context.Context, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	created, err := c.store.Create(ctx, relaypb.EntryKind_QUARANTINE, name)
-	c.log.Info().Str("claim", name).Bool("granted", created).AnErr("error", err).Msg("trial of a request in quarantine claimed")
+	c.log.Info().Str("claim", name).Bool("granted", created).AnErr("error", err).Msg("claim of a quarantine trial")
 	return err == nil && created
 }
 
-// ReadsStore reports whether this host reads the store itself: it follows no other. Few
-// hosts do.
-func (c *Control) ReadsStore() bool { return !c.announce.followed.Load() }
+// ReadsStore reports whether this host has no leader and reads the store itself. Few hosts
+// do.
+func (c *Control) ReadsStore() bool { return !c.announcer.delegated.Load() }
--- a/internal/control/records_test.go
+++ b/internal/control/records_test.go
@@ -10,40 +10,41 @@
 	"github.com/mallowgap/mallowgap/api/relaypb"
 )
 
-// One record is written at once; many, as after a power loss, take few calls of the store, and
-// what is beyond the bound is left out. What was removed meanwhile is not written.
-func TestRecordsTakeFewCallsOfTheStore(t *testing.T) {
-	inWorld(t, 3, func(w *world) {
-		m := w.hosts["a000"]
-		before := w.store.Writes.Load()
+// Checks that a single record is written at once, that many are batched into few writes, that
+// records beyond the limit are dropped, and that a record removed while queued is not
+// written.
+func TestRecordsAreWrittenInBatches(t *testing.T) {
+	withCluster(t, 3, func(c *cluster) {
+		m := c.hosts["a000"]
+		before := c.store.Writes.Load()
 		m.PutRecord("first", []byte("x"))
 		time.Sleep(10 * time.Millisecond)
-		assert.DeepEqual(w.t, w.store.Names(relaypb.EntryKind_QUARANTINE), []string{"first"})
+		assert.DeepEqual(c.t, c.store.Names(relaypb.EntryKind_QUARANTINE), []string{"first"})
 		for i := range 1000 {
 			m.PutRecord(fmt.Sprint("r", i), []byte("x"))
 		}
 		m.RemoveRecords([]string{"first", "r1"})
 		time.Sleep(5 * time.Second)
-		assert.Equal(w.t, len(w.store.Names(relaypb.EntryKind_QUARANTINE)), 256-1)
-		writes := w.store.Writes.Load() - before
-		assert.Assert(w.t, writes <= 12, "%d writes", writes)
+		assert.Equal(c.t, len(c.store.Names(relaypb.EntryKind_QUARANTINE)), 256-1)
+		writes := c.store.Writes.Load() - before
+		assert.Assert(c.t, writes <= 12, "%d writes", writes)
 	})
 }
 
-// While the store is away records wait, and a claim is not granted.
-func TestRecordsWaitForTheStore(t *testing.T) {
-	inWorld(t, 1, func(w *world) {
-		m := w.hosts["a000"]
-		w.store.SetDown(true)
+// Checks that records are queued and claims are refused while the store is down.
+func TestRecordsAreQueuedWhileTheStoreIsDown(t *testing.T) {
+	withCluster(t, 1, func(c *cluster) {
+		m := c.hosts["a000"]
+		c.store.SetDown(true)
 		m.PutRecord("kept", []byte("x"))
 		m.PutRecord("gone", []byte("x"))
 		time.Sleep(2 * time.Second)
-		assert.Assert(w.t, !m.Claim(w.t.Context(), "trial"))
+		assert.Assert(c.t, !m.Claim(c.t.Context(), "trial"))
 		m.RemoveRecords([]string{"gone"})
-		w.store.SetDown(false)
+		c.store.SetDown(false)
 		time.Sleep(2 * time.Second)
-		assert.DeepEqual(w.t, w.store.Names(relaypb.EntryKind_QUARANTINE), []string{"kept"})
-		assert.Assert(w.t, m.Claim(w.t.Context(), "trial"))
-		assert.Assert(w.t, !m.Claim(w.t.Context(), "trial"), "claimed twice")
+		assert.DeepEqual(c.t, c.store.Names(relaypb.EntryKind_QUARANTINE), []string{"kept"})
+		assert.Assert(c.t, m.Claim(c.t.Context(), "trial"))
+		assert.Assert(c.t, !m.Claim(c.t.Context(), "trial"), "claimed twice")
 	})
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// controlTick is the interval at which lapsed entries are looked at.
-	controlTick = 250 * time.Millisecond
-	// hostGrace is for how long after the store's return a host whose lease
-	// ended in the outage may announce itself again: two renewals.
+	// expiryInterval is the interval at which expired entries are removed.
+	expiryInterval = 250 * time.Millisecond
+	// hostGrace is how long after the store's return a host whose lease expired during the
+	// outage still counts, so that it can announce itself again: two renewal intervals.
 	hostGrace = 8 * time.Second
-	// sharerLife is for how long a host that went counts among those that share the retry
-	// budget: the span over which that is counted, and the time of the news.
-	sharerLife = 12 * time.Second
-	// maxRemovals bounds the removals kept for followers.
+	// sharerGrace is how long a host that is gone still counts among those that share the
+	// retry budget: the window of the budget, and the time until all hosts know of the
+	// change.
+	sharerGrace = 12 * time.Second
+	// maxRemovals limits the removals kept for followers.
 	maxRemovals = 2000
 )
 
-// state is the control state. Only its goroutine touches the fields below
-// actions.
+// state is the control state. The fields below actions belong to its goroutine.
 type state struct {
-	decode   Decoder
-	listener Listener
-	relays   int
-	// cold is what a cold server takes, but for what its service says of it.
-	cold limit.ColdBound
-	log  zerolog.Logger
-	// details is for lines about single entries, bounded a second.
-	details zerolog.Logger
-	// unreadable is for lines about entries that cannot be read, bounded a second.
-	unreadable zerolog.Logger
-	// self is the entry of this host.
+	decoder         Decoder
+	listener        Listener
+	relaysPerDomain int
+	// coldBound limits the requests to a cold server, apart from the settings of its service.
+	coldBound limit.ColdBound
+	log       zerolog.Logger
+	// detailLog is the rate-limited log for changes of single entries.
+	detailLog zerolog.Logger
+	// invalidLog is the rate-limited log for entries that cannot be decoded.
+	invalidLog zerolog.Logger
+	// self is the store entry of this host.
 	self    Host
 	tally   tally
 	current atomic.Pointer[View]
@@ -52,63 +52,63 @@
 	tableSince time.Time
 	registry   *discovery.Registry
 	hosts      map[string]Host
-	// groups are the hosts by domain and chooser what chooses among them, as long as
-	// hostsChanged is not set.
-	groups       map[string][]Host
-	chooser      *chooser
+	// hostGroups are the hosts by failure domain and subsetter selects among them; both are valid
+	// unless hostsChanged is set.
+	hostGroups   map[string][]Host
+	subsetter    *subsetter
 	hostsChanged bool
-	// sharers is View.Sharers, fewerSince when the hosts became fewer than that.
+	// sharers is View.Sharers; fewerSince is when the number of hosts dropped below it.
 	sharers    int
 	fewerSince time.Time
-	// lapsed are the hosts whose entries went missing in an outage of the
-	// store; they count until trustHosts.
-	lapsed     map[string]bool
-	trustHosts time.Time
-	// entries holds every entry as the store has it, for peers that cannot
-	// read the store.
+	// expiredHosts are hosts whose entries disappeared during an outage of the store. They still
+	// count until hostGraceEnd.
+	expiredHosts map[string]bool
+	hostGraceEnd time.Time
+	// entries holds all entries as stored, for peers that cannot read the store.
 	entries map[entryKey]Entry
-	// removals are the latest removals, oldest first; those up to revision
-	// removalsFrom are forgotten.
-	removals     []Entry
-	removalsFrom uint64
-	revision     uint64
-	storeLost    time.Time
-	// contact is when the store was last heard from, here or by others.
-	contact time.Time
-	// doubted is when the machine woke from a suspension, until what is known is confirmed.
-	doubted  time.Time
-	stopping bool
-	// changed is closed when there is something new to tell followers.
+	// removals are the most recent removals, oldest first; those up to compactedRevision are
+	// no longer kept.
+	removals          []Entry
+	compactedRevision uint64
+	revision          uint64
+	storeLost         time.Time
+	// lastContact is when this host or one that it learns from last heard from the store.
+	lastContact time.Time
+	// unconfirmedSince is when the machine resumed from a suspension; zero once the state has
+	// been confirmed.
+	unconfirmedSince time.Time
+	stopping         bool
+	// changed is closed when there are updates for followers.
 	changed chan struct{}
-	// started is closed once the configuration and the servers are known. Any
-	// goroutine may wait for it.
-	started chan struct{}
+	// initialized is closed once the configuration and the servers are known. Any goroutine
+	// may wait for it.
+	initialized chan struct{}
 }
 
-// entriesLeftOut counts entries that met a fault of the program.
-var entriesLeftOut = metrics.GetOrCreateCounter("mallowgap_entries_left_out_total")
+// entriesSkipped counts entries whose processing panicked.
+var entriesSkipped = metrics.GetOrCreateCounter("mallowgap_entries_left_out_total")
 
 type entryKey struct {
 	kind relaypb.EntryKind
 	name string
 }
 
-func newState(decode Decoder, listener Listener, self Host, relays int, log zerolog.Logger) *state {
-	c := &state{
-		decode: decode, listener: listener, self: self, relays: relays,
-		log: log, details: obs.Bounded(log, detailsPerSecond), unreadable: obs.Bounded(log, detailsPerSecond),
+func newState(decoder Decoder, listener Listener, self Host, relaysPerDomain int, log zerolog.Logger) *state {
+	s := &state{
+		decoder: decoder, listener: listener, self: self, relaysPerDomain: relaysPerDomain,
+		log: log, detailLog: obs.Bounded(log, detailLinesPerSecond), invalidLog: obs.Bounded(log, detailLinesPerSecond),
 		actions:  make(chan func()),
-		registry: discovery.NewRegistry(), hosts: map[string]Host{}, lapsed: map[string]bool{}, entries: map[entryKey]Entry{},
-		changed: make(chan struct{}), started: make(chan struct{}),
+		registry: discovery.NewRegistry(), hosts: map[string]Host{}, expiredHosts: map[string]bool{}, entries: map[entryKey]Entry{},
+		changed: make(chan struct{}), initialized: make(chan struct{}),
 	}
-	c.current.Store(&View{Hosts: map[string][]Host{}})
-	return c
+	s.current.Store(&View{Hosts: map[string][]Host{}})
+	return s
 }
 
-// view returns the published state.
+// view returns the current published state.
 func (s *state) view() *View { return s.current.Load() }
 
-// do runs an action on the control goroutine and waits for it.
+// do runs an action on the state's goroutine and waits for it, or until ctx is done.
 func (s *state) do(ctx context.Context, action func()) {
 	done := make(chan struct{})
 	select {
@@ -122,9 +122,9 @@
 	}
 }
 
-// run executes actions until ctx ends.
+// run executes actions until ctx is done.
 func (s *state) run(ctx context.Context) {
-	ticker := time.NewTicker(controlTick)
+	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -138,68 +138,71 @@
 	}
 }
 
+// expire removes entries that disappeared during an outage and were not written again in
+// time.
 func (s *state) expire(now time.Time) {
-	gone := s.registry.Expire(now)
-	for _, server := range gone {
-		s.detail(server).Msg("server did not come back after the store did: gone")
+	expired := s.registry.Expire(now)
+	for _, server := range expired {
+		s.serverEvent(server).Msg("server not registered again after the store outage: removed")
 		s.listener.ServerGone(server)
 	}
-	lapsed := s.storeLost.IsZero() && !now.Before(s.trustHosts) && len(s.lapsed) > 0
-	if lapsed {
+	hostsExpired := s.storeLost.IsZero() && !now.Before(s.hostGraceEnd) && len(s.expiredHosts) > 0
+	if hostsExpired {
 		s.hostsChanged = true
-		for name := range s.lapsed {
+		for name := range s.expiredHosts {
 			delete(s.hosts, name)
 		}
-		s.tally.peersGone += len(s.lapsed)
-		clear(s.lapsed)
+		s.tally.peersGone += len(s.expiredHosts)
+		clear(s.expiredHosts)
 	}
-	s.tally.serversGone += len(gone)
-	if now.Sub(s.doubted) >= doubtLimit {
-		s.endDoubt("nobody has confirmed what is known in time: it is used as it is", now)
+	s.tally.serversGone += len(expired)
+	if now.Sub(s.unconfirmedSince) >= maxUnconfirmed {
+		s.clearUnconfirmed("state not confirmed in time after the suspension: using it as it is", now)
 	}
-	s.tell(now)
-	if len(gone) > 0 || lapsed {
+	s.logTally(now)
+	if len(expired) > 0 || hostsExpired {
 		s.publish(now)
 	}
 }
 
-// tell writes the line about the entries taken in where one is due.
-func (s *state) tell(now time.Time) { s.tally.tell(s.log, s.revision, !s.storeLost.IsZero(), now) }
+// logTally writes the summary of applied entries if it is due.
+func (s *state) logTally(now time.Time) { s.tally.flush(s.log, s.revision, !s.storeLost.IsZero(), now) }
 
-// applyReading takes in a complete reading of the store.
+// applyReading applies a complete read of the store.
 func (s *state) applyReading(r Reading, now time.Time) {
-	named := make(map[entryKey]bool, len(r.Entries))
+	present := make(map[entryKey]bool, len(r.Entries))
 	for _, e := range r.Entries {
-		named[entryKey{e.Kind, e.Name}] = true
+		present[entryKey{e.Kind, e.Name}] = true
 	}
 	var removed []Entry
 	for key := range s.entries {
-		if !named[key] {
+		if !present[key] {
 			removed = append(removed, Entry{Kind: key.kind, Name: key.name, Revision: r.Revision, Removed: true})
 		}
 	}
 	s.applyEntries(append(removed, r.Entries...), now)
 	if !s.registry.Loaded() {
-		s.removalsFrom = r.Revision
+		s.compactedRevision = r.Revision
 	}
 	s.registry.Complete()
 	s.tally.readings++
 	s.revision = max(s.revision, r.Revision)
-	s.tell(now)
+	s.logTally(now)
 	s.publish(now)
 }
 
-// applyChanges takes in what changed since the revision known.
+// applyChanges applies the changes since the known revision.
 func (s *state) applyChanges(r Reading, now time.Time) {
 	s.revision = max(s.revision, r.Revision)
 	if len(r.Entries) == 0 {
 		return
 	}
 	s.applyEntries(r.Entries, now)
-	s.tell(now)
+	s.logTally(now)
 	s.publish(now)
 }
 
+// applyEntries applies the entries that are newer than the known ones.
 func (s *state) applyEntries(entries []Entry, now time.Time) {
 	for _, e := range entries {
 		key := entryKey{e.Kind, e.Name}
@@ -208,31 +211,32 @@
 		}
 		if e.Removed {
 			delete(s.entries, key)
-			s.keepRemoval(e)
+			s.recordRemoval(e)
 		} else {
 			s.entries[key] = e
 		}
-		s.applyContained(e, now)
+		s.applyOrSkip(e, now)
 	}
 }
 
-// applyContained takes an entry in, or leaves it out where that meets a fault of the program:
-// every host reads the same entries, and again after it has ended with one.
-func (s *state) applyContained(e Entry, now time.Time) {
+// applyOrSkip applies an entry, or skips it if that panics: every host reads the same entries
+// and would panic again after a restart.
+func (s *state) applyOrSkip(e Entry, now time.Time) {
 	defer func() {
 		if value := recover(); value != nil {
-			entriesLeftOut.Inc()
+			entriesSkipped.Inc()
 			s.log.Error().Stringer("kind", e.Kind).Str("name", e.Name).Uint64("revision", e.Revision).Interface("fault", value).
-				Msg("fault of the program: the entry is left out, what is known stays in force")
+				Msg("panic while applying an entry: skipping it and keeping the last known state")
 		}
 	}()
 	s.applyEntry(e, now)
 }
 
-func (s *state) keepRemoval(e Entry) {
+// recordRemoval keeps a removal for followers and drops the oldest ones beyond maxRemovals.
+func (s *state) recordRemoval(e Entry) {
 	s.removals = append(s.removals, e)
 	if over := len(s.removals) - maxRemovals; over > 0 {
-		s.removalsFrom = s.removals[over-1].Revision
+		s.compactedRevision = s.removals[over-1].Revision
 		s.removals = append([]Entry(nil), s.removals[over:]...)
 	}
 }
@@ -254,21 +258,21 @@
 	}
 }
 
-// applyEvacuation takes in that the servers of a failure domain are to get nothing, or that
-// this is taken back. What runs there ends by itself.
+// applyEvacuation starts or ends the evacuation of a failure domain: its servers get no new
+// requests, while requests in flight complete.
 func (s *state) applyEvacuation(e Entry, now time.Time) {
 	if e.Removed {
 		if s.registry.Restore(e.Name, s.coldFor, now) {
-			s.log.Info().Str("domain", e.Name).Uint64("revision", e.Revision).Msg("evacuation ended: the servers of the domain are used again, as cold ones")
+			s.log.Info().Str("domain", e.Name).Uint64("revision", e.Revision).Msg("evacuation ended: the servers of the domain get requests again and count as cold")
 		}
 		return
 	}
 	if s.registry.Evacuate(e.Name) {
-		s.log.Info().Str("domain", e.Name).Uint64("revision", e.Revision).Msg("evacuation: nothing more is sent to the servers of the domain")
+		s.log.Info().Str("domain", e.Name).Uint64("revision", e.Revision).Msg("evacuation started: no more requests to the servers of the domain")
 	}
 }
 
-// coldFor is for how long servers of a service are cold after their start.
+// coldFor returns how long servers of a service count as cold after their start.
 func (s *state) coldFor(service string) time.Duration {
 	if table := s.holder.Table(); table != nil {
 		return table.Service(service).ColdFor
@@ -277,31 +281,32 @@
 }
 
 func (s *state) applyConfig(e Entry, now time.Time) {
-	config, err := s.decode.DecodeConfig(e.Value)
+	config, err := s.decoder.DecodeConfig(e.Value)
 	if err != nil {
-		s.log.Error().Err(err).Uint64("revision", e.Revision).Msg("configuration cannot be decoded; the one in force stays")
+		s.log.Error().Err(err).Uint64("revision", e.Revision).Msg("failed to decode the configuration: keeping the current one")
 		return
 	}
 	adopted, err := s.holder.Adopt(config)
 	if err != nil {
-		s.log.Error().Err(err).Uint64("revision", e.Revision).Msg("configuration is not valid; the one in force stays")
+		s.log.Error().Err(err).Uint64("revision", e.Revision).Msg("invalid configuration: keeping the current one")
 		return
 	}
 	if adopted {
 		s.tableSince = now
 		s.listener.TableChanged(s.holder.Table())
 		s.log.Info().Uint64("version", config.Version).Uint64("revision", e.Revision).Int("routes", len(config.Routes)).Msg("configuration in force")
-		s.warn(config.Warnings())
+		s.logWarnings(config.Warnings())
 	}
 }
 
-// maxWarnings bounds the lines about the odd values of one configuration.
+// maxWarnings limits the log lines about out-of-range values of one configuration.
 const maxWarnings = 20
 
-// warn says which odd values of a configuration are not used as they are.
-func (s *state) warn(warnings []*route.InvalidError) {
+// logWarnings logs the values of a configuration that are out of range and are adjusted or
+// ignored.
+func (s *state) logWarnings(warnings []*route.InvalidError) {
 	for _, w := range warnings[:min(len(warnings), maxWarnings)] {
-		s.log.Warn().Err(w).Int("warnings", len(warnings)).Msg("odd value in the configuration")
+		s.log.Warn().Err(w).Int("warnings", len(warnings)).Msg("configuration value out of range")
 	}
 }
 
@@ -310,15 +315,15 @@
 		s.removeServer(e, now)
 		return
 	}
-	server, err := s.decode.DecodeServer(e.Name, e.Value)
+	server, err := s.decoder.DecodeServer(e.Name, e.Value)
 	if err != nil {
 		wasInUse := s.registry.Drop(e.Name)
-		s.unreadable.Warn().Err(err).Str("server", e.Name).Uint64("revision", e.Revision).Bool("was_in_use", wasInUse).
-			Msg("server entry cannot be read: it names no server to use until it can")
+		s.invalidLog.Warn().Err(err).Str("server", e.Name).Uint64("revision", e.Revision).Bool("was_in_use", wasInUse).
+			Msg("failed to decode a server entry: the server is not used until its entry is valid")
 		return
 	}
 	if !s.registry.Put(server, now) {
-		s.details.Info().Str("server", e.Name).Int64("born", server.Born).Uint64("revision", e.Revision).Msg("entry of an earlier process of the server is left alone")
+		s.detailLog.Info().Str("server", e.Name).Int64("born", server.Born).Uint64("revision", e.Revision).Msg("ignoring the entry of an earlier process of the server")
 		return
 	}
 	s.tally.servers++
@@ -326,11 +331,11 @@
 		s.tally.draining++
 	}
 	if s.registry.Loaded() {
-		s.detail(server).Bool("draining", server.Draining).Uint64("revision", e.Revision).Msg("server registered")
+		s.serverEvent(server).Bool("draining", server.Draining).Uint64("revision", e.Revision).Msg("server registered")
 	}
 }
 
-// removeServer takes in that the store no longer names a server.
+// removeServer handles the removal of a server from the store.
 func (s *state) removeServer(e Entry, now time.Time) {
 	server, known := s.registry.Server(e.Name)
 	if !known {
@@ -341,22 +346,23 @@
 	} else {
 		s.tally.kept++
 	}
-	s.detail(server).Uint64("revision", e.Revision).Bool("store_away", !s.storeLost.IsZero()).Msg("server no longer registered")
+	s.serverEvent(server).Uint64("revision", e.Revision).Bool("store_away", !s.storeLost.IsZero()).Msg("server no longer registered")
 }
 
-// detail begins a line about one server where this host calls it itself. Of the
-// others the tally tells: their lines stand on the hosts that call them.
-func (s *state) detail(server discovery.Server) *zerolog.Event {
-	if !s.view().Share(server, s.relays).Calls(s.self.Name, s.self.Domain) {
+// serverEvent starts a log event about a server if this host calls it directly, and returns
+// nil otherwise. Changes of other servers are logged on the hosts that call them, and only
+// counted here.
+func (s *state) serverEvent(server discovery.Server) *zerolog.Event {
+	if !s.view().Share(server, s.relaysPerDomain).Calls(s.self.Name, s.self.Domain) {
 		return nil
 	}
-	return s.details.Info().Str("server", server.ID).Str("service", server.Service)
+	return s.detailLog.Info().Str("server", server.ID).Str("service", server.Service)
 }
 
 func (s *state) applyHost(e Entry, now time.Time) {
-	delete(s.lapsed, e.Name)
-	if e.Removed && (!s.storeLost.IsZero() || now.Before(s.trustHosts)) {
-		s.lapsed[e.Name] = true
+	delete(s.expiredHosts, e.Name)
+	if e.Removed && (!s.storeLost.IsZero() || now.Before(s.hostGraceEnd)) {
+		s.expiredHosts[e.Name] = true
 		s.tally.kept++
 		return
 	}
@@ -368,25 +374,25 @@
 	}
 	var h relaypb.Host
 	if err := proto.Unmarshal(e.Value, &h); err != nil {
-		s.log.Error().Err(err).Str("peer", e.Name).Msg("peer entry cannot be decoded; it is left out")
+		s.log.Error().Err(err).Str("peer", e.Name).Msg("failed to decode a peer entry: ignoring it")
 		return
 	}
-	registered := hostOf(&h)
+	registered := hostFromEntry(&h)
 	registered.revision = e.Revision
 	s.hosts[e.Name] = registered
 	s.hostsChanged = true
 	s.tally.peers++
 }
 
-// storeIs notes whether the store answers. heard is when it last did.
-func (s *state) storeIs(up bool, cause error, heard, now time.Time) {
-	if heard.After(s.contact) {
-		s.contact = heard
+// setStoreStatus records whether the store responds; heard is when it last did.
+func (s *state) setStoreStatus(reachable bool, cause error, heard, now time.Time) {
+	if heard.After(s.lastContact) {
+		s.lastContact = heard
 	}
-	if up {
-		s.assure(now)
+	if reachable {
+		s.confirm(now)
 	}
-	if !up {
+	if !reachable {
 		s.registry.StoreLost()
 		if s.storeLost.IsZero() {
 			s.storeLost = now
@@ -398,18 +404,18 @@
 	if s.registry.StoreRegained(now) {
 		s.log.Info().Dur("away", now.Sub(s.storeLost)).Msg("store regained")
 		s.storeLost = time.Time{}
-		s.trustHosts = now.Add(hostGrace)
+		s.hostGraceEnd = now.Add(hostGrace)
 		s.publish(now)
 	}
 }
 
-// countSharers returns the number of hosts now or not long ago. The entries of a whole
-// region may vanish and come back: each host taking the part of one of fewer, the budget of
-// all would be passed.
+// countSharers returns the number of hosts that exist or existed recently. If all entries of
+// a region disappear for a moment, the other hosts must not enlarge their shares of the retry
+// budget, or the total would be exceeded.
 func (s *state) countSharers(now time.Time) int {
 	n := len(s.hosts)
 	switch {
-	case n >= s.sharers || !s.fewerSince.IsZero() && now.Sub(s.fewerSince) > sharerLife:
+	case n >= s.sharers || !s.fewerSince.IsZero() && now.Sub(s.fewerSince) > sharerGrace:
 		s.sharers, s.fewerSince = n, time.Time{}
 	case s.fewerSince.IsZero():
 		s.fewerSince = now
@@ -417,44 +423,44 @@
 	return s.sharers
 }
 
-// byDomain returns the hosts by their failure domain, and makes a new chooser where they
-// have changed.
-func (s *state) byDomain() map[string][]Host {
-	if s.hostsChanged || s.groups == nil {
-		s.groups, s.hostsChanged = byDomain(s.hosts), false
-		s.chooser = newChooser(s.groups)
+// groupHosts returns the hosts by failure domain. It updates the subsetter if the hosts have
+// changed.
+func (s *state) groupHosts() map[string][]Host {
+	if s.hostsChanged || s.hostGroups == nil {
+		s.hostGroups, s.hostsChanged = groupByDomain(s.hosts), false
+		s.subsetter = newSubsetter(s.hostGroups)
 	}
-	return s.groups
+	return s.hostGroups
 }
 
-// publish makes the state visible to traffic.
+// publish makes the state visible to request handling.
 func (s *state) publish(now time.Time) {
 	previous := s.view()
 	v := &View{
-		Table: s.holder.Table(), TableSince: s.tableSince, Hosts: s.byDomain(), Count: len(s.hosts),
-		farRegions: otherRegions(s.hosts, s.self.Region),
-		StoreLost:  s.storeLost, Revision: s.revision, cold: s.cold,
+		Table: s.holder.Table(), TableSince: s.tableSince, Hosts: s.groupHosts(), Count: len(s.hosts),
+		remoteRegions: regionsExcept(s.hosts, s.self.Region),
+		StoreLost:     s.storeLost, Revision: s.revision, cold: s.coldBound,
 	}
-	v.chooser, v.Sharers = s.chooser, s.countSharers(now)
+	v.subsetter, v.Sharers = s.subsetter, s.countSharers(now)
 	v.Known = v.Table != nil && s.registry.Loaded()
-	v.Doubted = !s.doubted.IsZero()
+	v.Doubted = !s.unconfirmedSince.IsZero()
 	v.Ready = v.Known && !s.stopping && !v.Doubted
 	if v.Ready != previous.Ready {
 		s.log.Info().Bool("ready", v.Ready).Bool("stopping", s.stopping).Msg("readiness changed")
 	}
-	shares := func(server discovery.Server) Share { return v.Share(server, s.relays) }
-	s.listener.ServersChanged(s.registry.Servers(), shares, now)
+	shareOf := func(server discovery.Server) Share { return v.Share(server, s.relaysPerDomain) }
+	s.listener.ServersChanged(s.registry.Servers(), shareOf, now)
 	outdated := s.changed
 	s.changed = make(chan struct{})
 	v.Outdated = s.changed
 	s.current.Store(v)
 	if v.Known && !previous.Known {
-		close(s.started)
+		close(s.initialized)
 	}
 	close(outdated)
 }
 
-// updates is what a follower has not heard yet.
+// updates holds the changes a follower has not received yet.
 type updates struct {
 	Reading
 	complete  bool
@@ -463,24 +469,24 @@
 	changed   <-chan struct{}
 }
 
-// updatesSince returns what changed since a revision, or everything where that is
-// no longer known.
+// updatesSince returns the changes since a revision, or the complete state if they are no
+// longer kept.
 func (s *state) updatesSince(known uint64, now time.Time) updates {
-	n := updates{age: now.Sub(s.contact), storeLost: !s.storeLost.IsZero(), changed: s.changed}
-	n.Revision = s.revision
+	u := updates{age: now.Sub(s.lastContact), storeLost: !s.storeLost.IsZero(), changed: s.changed}
+	u.Revision = s.revision
 	if s.revision <= known || !s.registry.Loaded() {
-		return n
+		return u
 	}
-	n.complete = known < s.removalsFrom || known == 0
+	u.complete = known < s.compactedRevision || known == 0
 	for _, e := range s.entries {
-		if n.complete || e.Revision > known {
-			n.Entries = append(n.Entries, e)
+		if u.complete || e.Revision > known {
+			u.Entries = append(u.Entries, e)
 		}
 	}
 	for _, e := range s.removals {
-		if !n.complete && e.Revision > known {
-			n.Entries = append(n.Entries, e)
+		if !u.complete && e.Revision > known {
+			u.Entries = append(u.Entries, e)
 		}
 	}
-	return n
+	return u
 }
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -10,33 +10,34 @@
 	"github.com/mallowgap/mallowgap/route"
 )
 
-// Entry is one value of the platform's store that matters to a gateway.
+// Entry is a value of the platform's store that gateways use.
 type Entry struct {
 	Kind relaypb.EntryKind
-	// Name is that of the server or host; empty for the configuration.
+	// Name is the key within the kind, such as the server or host; empty for the
+	// configuration.
 	Name  string
 	Value []byte
-	// Revision is the store's revision of the value's last change.
+	// Revision is the store revision of the last change.
 	Revision uint64
-	// Removed tells that the value is gone.
+	// Removed is set if the entry has been deleted.
 	Removed bool
 }
 
-// Reading is a consistent reading of the store, or the changes since one.
+// Reading is a consistent snapshot of the store, or the changes since a revision.
 type Reading struct {
-	// Revision is that of the store; later changes come after it.
+	// Revision is the store's revision; later changes have higher ones.
 	Revision uint64
 	Entries  []Entry
 }
 
-// ErrCompacted is returned by Watch where the changes asked for are no longer
-// kept: everything must be read again.
-var ErrCompacted = errors.New("the store no longer has these changes: read everything again")
+// ErrCompacted is returned by Watch if the requested changes are no longer available and the
+// store must be read from scratch.
+var ErrCompacted = errors.New("store history compacted: a complete read is required")
 
-// ErrLeaseEnded is returned by Renew and Write for a lease that is gone.
-var ErrLeaseEnded = errors.New("the lease has ended: announce again")
+// ErrLeaseEnded is returned by Renew and Write if the lease does not exist anymore.
+var ErrLeaseEnded = errors.New("lease expired: a new lease is required")
 
-// Decoder decodes what the store's entries hold.
+// Decoder decodes the values of store entries.
 type Decoder interface {
 	// DecodeConfig decodes the value of a configuration entry.
 	DecodeConfig(value []byte) (route.Config, error)
@@ -44,31 +45,30 @@
 	DecodeServer(id string, value []byte) (discovery.Server, error)
 }
 
-// Store is the platform's store. Each call ends in bounded time, Watch with the
+// Store is the platform's store. Each call returns in bounded time; Watch also ends with its
 // context.
 type Store interface {
 	Decoder
 	// Read returns all entries.
 	Read(ctx context.Context) (Reading, error)
-	// Watch waits for changes after a revision, for at most wait.
+	// Watch waits at most wait for changes after a revision.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Reading, error)
-	// Lease returns a new lease. Entries written under it go when it ends.
+	// Lease creates a lease. Entries written under it are deleted when it expires.
 	Lease(ctx context.Context, ttl time.Duration) (lease uint64, err error)
 	// Renew renews a lease, or returns ErrLeaseEnded.
 	Renew(ctx context.Context, lease uint64) error
-	// Write writes entries of one of the kinds that hosts write by their names under a
-	// lease (0: none) and removes others, all or nothing, 32 together at the most. It returns
-	// the revision. To do so twice changes nothing, so that a call whose reply was lost can be
-	// made again.
+	// Write atomically writes and removes entries of a kind, at most MaxWrites together, and
+	// returns the new revision. The written entries are bound to lease unless it is 0. Write
+	// is idempotent, so that a call whose reply was lost can be repeated.
 	Write(ctx context.Context, kind relaypb.EntryKind, lease uint64, puts map[string][]byte, remove []string) (revision uint64, err error)
-	// Reconnect gives up the connections that are idle: they may be silent for good.
+	// Reconnect closes idle connections, which may be dead.
 	Reconnect()
-	// Create writes an empty entry without a lease, and reports whether there was none of
-	// that name. After an error it may or may not have.
+	// Create writes an empty entry without a lease, and reports whether it did not exist
+	// before. After an error, the entry may or may not have been created.
 	Create(ctx context.Context, kind relaypb.EntryKind, name string) (created bool, err error)
 }
 
-// Peers calls other gateways.
+// Peers sends calls to other gateways.
 type Peers interface {
 	State(ctx context.Context, address string, request *relaypb.StateRequest) (*relaypb.StateReply, error)
 	Follow(ctx context.Context, address string, request *relaypb.FollowRequest, received func(*relaypb.FollowReply)) error
@@ -77,18 +77,19 @@
 	Forget(address string)
 }
 
-// Listener is told what changes for the way of a request. It is called on the
-// goroutine that owns the state and must not block.
+// Listener receives the changes that request handling needs to know. Its methods are called
+// on the goroutine that owns the state and must not block.
 type Listener interface {
-	// ServersChanged gives the servers in service and this host's share of each.
+	// ServersChanged passes the servers in service and a function that returns this host's
+	// share of each.
 	ServersChanged(servers []discovery.Server, shares func(discovery.Server) Share, now time.Time)
-	// ServerGone tells that a server came not back after an outage of the store.
+	// ServerGone reports a server that was not registered again after an outage of the store.
 	ServerGone(server discovery.Server)
-	// TableChanged gives a table of routes that comes into force.
+	// TableChanged passes a routing table that takes effect.
 	TableChanged(table *route.Table)
-	// QuarantineChanged gives an entry about a request under which servers ended.
+	// QuarantineChanged passes an entry about a request that crashes servers.
 	QuarantineChanged(e Entry, now time.Time)
-	// Slept tells that the machine was suspended for a time, which the steady clock did not
+	// Slept reports that the machine was suspended for d, which the monotonic clock did not
 	// count.
 	Slept(d time.Duration)
 }
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// retryFirst and retryLongest bound the wait before a call of the store
-	// that failed is made again.
-	retryFirst   = 100 * time.Millisecond
-	retryLongest = 800 * time.Millisecond
-	// retryGrowth is by how much longer each wait is than the one before. A host that
-	// starts while the store is away has heard from a peer before its third call.
-	retryGrowth = 4
-	// watchGap is the least time between two watches, so that changes that come
-	// close together cost one call.
-	watchGap = 250 * time.Millisecond
-	// firstPeerPoll is the interval at which a host looks whether it has to ask a peer:
-	// one that has learned nothing since its start asks each time.
-	firstPeerPoll = 250 * time.Millisecond
-	// peerPoll is the least time between two questions while the store is away.
-	peerPoll = 700 * time.Millisecond
-	// maxAsked is the number of peers that are asked one after the other for one that
-	// has heard from the store: where a third of them has, 97 in 100 find one.
-	maxAsked = 6
-	// peerTimeout bounds a question to a peer.
+	// minRetryDelay and maxRetryDelay limit the delay before a failed store call is repeated.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
+	// retryFactor is the factor by which the delay grows. With it, a host that starts while
+	// the store is unreachable has heard from a peer before its third call.
+	retryFactor = 4
+	// minWatchInterval is the minimum time between two watches, so that changes in quick
+	// succession share one call.
+	minWatchInterval = 250 * time.Millisecond
+	// peerCheckInterval is how often a host checks whether to poll its peers. A host that
+	// knows nothing yet polls them each time.
+	peerCheckInterval = 250 * time.Millisecond
+	// minPeerPollInterval is the minimum time between two polls of peers while the store is
+	// unreachable.
+	minPeerPollInterval = 700 * time.Millisecond
+	// maxPeersQueried limits the peers queried in turn until one has recently heard from the
+	// store. It is large enough to find one even if most of them have lost it.
+	maxPeersQueried = 6
+	// peerTimeout bounds a call to a peer.
 	peerTimeout = 500 * time.Millisecond
-	// probeTick is the interval at which suspected peers are looked at.
-	probeTick = 250 * time.Millisecond
+	// probeCheckInterval is how often suspected peers are checked for due probes.
+	probeCheckInterval = 250 * time.Millisecond
 )
 
-// followStore follows the store's changes until ctx ends: through another host
-// of the region where one does so already, else by itself.
+// followStore tracks the store's changes until ctx is done: through a leader in the region if
+// there is one, or else directly.
 func (c *Control) followStore(ctx context.Context) {
-	wait := retryFirst
+	delay := minRetryDelay
 	for ctx.Err() == nil {
 		c.adoptFromPeers()
-		c.introduce(ctx)
+		c.discoverLeader(ctx)
 		if leader, ok := c.leader(); ok {
 			err := c.followLeader(ctx, leader)
 			if ctx.Err() != nil {
@@ -50,91 +50,91 @@
 				continue
 			}
 		}
-		err := c.whileAwake(ctx, c.followOnce)
+		err := c.untilResume(ctx, c.pollStore)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errWoke) {
+		if errors.Is(err, errResumed) {
 			continue
 		}
 		if errors.Is(err, ErrCompacted) {
-			c.log.Info().Uint64("revision", c.followed).Msg("the store compacted its history: reading everything again")
+			c.log.Info().Uint64("revision", c.watchedRevision).Msg("store history compacted: reading the store from scratch")
 			c.rereads.Inc()
 			c.loaded = false
 			continue
 		}
 		if err == nil {
-			wait = retryFirst
+			delay = minRetryDelay
 			continue
 		}
-		c.state.do(ctx, func() { c.state.storeIs(false, err, time.Time{}, time.Now()) })
-		pause.For(ctx, wait)
-		wait = min(retryGrowth*wait, retryLongest)
+		c.state.do(ctx, func() { c.state.setStoreStatus(false, err, time.Time{}, time.Now()) })
+		pause.For(ctx, delay)
+		delay = min(retryFactor*delay, maxRetryDelay)
 	}
 }
 
-// adoptFromPeers takes what peers told a host that has not read the store yet for a
-// reading: it need not read the store, and can follow another host.
+// adoptFromPeers uses the state received from peers in place of a first read of the store, so
+// that a starting host can follow a leader without one.
 func (c *Control) adoptFromPeers() {
-	if v := c.View(); !c.loaded && !c.introduced && v.Known {
+	if v := c.View(); !c.loaded && !c.discovered && v.Known {
 		c.loaded = true
-		c.followed = v.Revision
+		c.watchedRevision = v.Revision
 	}
 }
 
-// introduce finds out, once after the start, whether there is a host to follow. One that
-// knows no other after its first reading waits for those that announce themselves first
-// and hears of them from a seed: that costs no call of the store.
-func (c *Control) introduce(ctx context.Context) {
-	if c.introduced || !c.loaded {
+// discoverLeader determines, once after the start, whether there is a leader to follow. A
+// host that knows no other host after its first read waits for those that announce themselves
+// earlier and learns of them from a seed, without a store call.
+func (c *Control) discoverLeader(ctx context.Context) {
+	if c.discovered || !c.loaded {
 		return
 	}
-	c.introduced = true
+	c.discovered = true
 	if len(c.seeds) > 0 && c.View().Count == 0 {
-		pause.For(ctx, c.announce.spread())
-		c.askPeer(ctx, c.seeds[rand.IntN(len(c.seeds))], c.followed)
-		c.followed = max(c.followed, c.View().Revision)
+		pause.For(ctx, c.announcer.announceDelay())
+		c.queryPeer(ctx, c.seeds[rand.IntN(len(c.seeds))], c.watchedRevision)
+		c.watchedRevision = max(c.watchedRevision, c.View().Revision)
 	}
-	_, follows := c.leader()
-	c.announce.introduced(follows, time.Now())
+	_, hasLeader := c.leader()
+	c.announcer.scheduleAnnounce(hasLeader, time.Now())
 }
 
-// followOnce makes one call of the store: a reading where nothing is known,
-// else a watch.
-func (c *Control) followOnce(ctx context.Context) error {
+// pollStore makes one store call: a complete read if nothing is known, or else a watch.
+func (c *Control) pollStore(ctx context.Context) error {
 	if !c.loaded {
 		return c.read(ctx)
 	}
 	settings := c.settings
 	wait := settings.GetWatchWait().AsDuration()
 	if c.View().Doubted {
-		wait = probeWait // The store's word is wanted at once, not its next change.
+		wait = probeWatchWait // Confirms the state without waiting for a change.
 	}
 	started := time.Now()
 	err := c.watch(ctx, wait, settings.GetWatchSlack().AsDuration())
 	if err == nil {
-		pause.For(ctx, watchGap-time.Since(started))
+		pause.For(ctx, minWatchInterval-time.Since(started))
 	}
 	return err
 }
 
-// watch waits for changes and takes them in.
+// watch waits for changes and applies them.
 func (c *Control) watch(ctx context.Context, wait, slack time.Duration) error {
 	callCtx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
-	changes, err := c.store.Watch(callCtx, c.followed, wait)
+	changes, err := c.store.Watch(callCtx, c.watchedRevision, wait)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
 	c.state.do(ctx, func() {
-		c.state.storeIs(true, nil, now, now)
+		c.state.setStoreStatus(true, nil, now, now)
 		c.state.applyChanges(changes, now)
 	})
-	c.followed = max(c.followed, changes.Revision)
+	c.watchedRevision = max(c.watchedRevision, changes.Revision)
 	return nil
 }
 
+// read applies a complete read of the store.
 func (c *Control) read(ctx context.Context) error {
 	reading, err := c.store.Read(ctx)
 	if err != nil {
@@ -142,10 +142,10 @@
 	}
 	now := time.Now()
 	c.state.do(ctx, func() {
-		c.state.storeIs(true, nil, now, now)
+		c.state.setStoreStatus(true, nil, now, now)
 		c.state.applyReading(reading, now)
 	})
-	c.followed = reading.Revision
+	c.watchedRevision = reading.Revision
 	c.loaded = true
 	return nil
 }
--- a/internal/control/tally_test.go
+++ b/internal/control/tally_test.go
@@ -17,7 +17,7 @@
 	"github.com/mallowgap/mallowgap/route"
 )
 
-// jsonDecoder decodes entries as the fake store holds them.
+// jsonDecoder decodes entries in the format of the fake store.
 type jsonDecoder struct{}
 
 func (jsonDecoder) DecodeConfig(value []byte) (c route.Config, err error) {
@@ -28,16 +28,17 @@
 	return s, json.Unmarshal(value, &s)
 }
 
-// noListener takes nothing.
-type noListener struct{}
+// noopListener ignores all changes.
+type noopListener struct{}
 
-func (noListener) ServersChanged([]discovery.Server, func(discovery.Server) Share, time.Time) {}
-func (noListener) ServerGone(discovery.Server)                                                {}
-func (noListener) TableChanged(*route.Table)                                                  {}
-func (noListener) QuarantineChanged(Entry, time.Time)                                         {}
-func (noListener) Slept(time.Duration)                                                        {}
+func (noopListener) ServersChanged([]discovery.Server, func(discovery.Server) Share, time.Time) {}
+func (noopListener) ServerGone(discovery.Server)                                                {}
+func (noopListener) TableChanged(*route.Table)                                                  {}
+func (noopListener) QuarantineChanged(Entry, time.Time)                                         {}
+func (noopListener) Slept(time.Duration)                                                        {}
 
-// fleetEntries returns the entries of hosts and of two servers for each of shards.
+// fleetEntries returns the entries of a configuration, of hosts and of two servers for each
+// of the shards.
 func fleetEntries(hosts, shards int, revision uint64) []Entry {
 	var entries []Entry
 	for i := range hosts {
@@ -59,21 +60,21 @@
 	return append(entries, Entry{Kind: relaypb.EntryKind_CONFIG, Value: config, Revision: revision})
 }
 
-// The entries of a fleet of 195 hosts and 432 servers vanish and come back, as after
-// an outage of the store, three times in a second: a line for each entry was 250,000
-// lines in a day.
+// Checks that the number of log lines is bounded when all entries disappear and return
+// several times within a second, as after an outage of the store.
 func TestLinesDoNotGrowWithTheEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, self := range []Host{{Name: "host8", Domain: "d2", Region: "r"}, {Name: "host0", Domain: "d0", Region: "r"}} {
-			countLines(t, self)
+			checkLogLines(t, self)
 		}
 	})
 }
 
-func countLines(t *testing.T, self Host) {
+// checkLogLines applies the entries repeatedly on one host and checks its log.
+func checkLogLines(t *testing.T, self Host) {
 	t.Helper()
 	var out strings.Builder
-	s := newState(jsonDecoder{}, noListener{}, self, 3, zerolog.New(zerolog.SyncWriter(&out)))
+	s := newState(jsonDecoder{}, noopListener{}, self, 3, zerolog.New(zerolog.SyncWriter(&out)))
 	now := time.Unix(1000, 0)
 	entries := fleetEntries(195, 216, 1)
 	s.applyReading(Reading{Revision: 1, Entries: entries}, now)
@@ -83,9 +84,9 @@
 		s.applyReading(Reading{Revision: 3 + 2*i, Entries: fleetEntries(195, 216, 3+2*i)}, now)
 	}
 	lines := strings.Count(out.String(), "\n")
-	assert.Assert(t, lines <= 2+detailsPerSecond+5, "%d lines:\n%s", lines, out.String())
-	assert.Equal(t, strings.Contains(out.String(), `"server":"i-`), self.Name == "host0", "only who calls a server tells of it:\n%s", out.String())
-	now = now.Add(tallyEvery)
+	assert.Assert(t, lines <= 2+detailLinesPerSecond+5, "%d lines:\n%s", lines, out.String())
+	assert.Equal(t, strings.Contains(out.String(), `"server":"i-`), self.Name == "host0", "only hosts that call a server log its changes:\n%s", out.String())
+	now = now.Add(tallyInterval)
 	s.expire(now)
 	assert.Assert(t, strings.Contains(out.String(), `"servers_gone":1296`), out.String())
 }
--- a/internal/control/tell.go
+++ b/internal/control/tell.go
@@ -10,13 +10,13 @@
 	"github.com/mallowgap/mallowgap/api/relaypb"
 )
 
-// tellTimeout bounds the message to one host: the way to another region and back many times.
+// tellTimeout bounds the calls to all relays: several round trips to another region.
 const tellTimeout = 250 * time.Millisecond
 
-// tellPeers hands what waits for the store, which is away, to the relays of every failure domain:
-// queries of all hosts pass through some of them. It protects the servers that the first host has
-// left from a request under which servers end, where the others cannot read of it. A host that
-// cannot be reached learns it when the store is back.
+// tellPeers sends quarantine records to the relays of every failure domain while the store is
+// unreachable. Queries of all hosts pass through some of these relays, which then stop a
+// request that crashes servers although other hosts cannot read its record. A relay that
+// cannot be reached reads the records when the store is back.
 func (c *Control) tellPeers(ctx context.Context, puts map[string][]byte, remove []string) error {
 	var entries []Entry
 	for _, name := range slices.Sorted(maps.Keys(puts)) {
@@ -31,22 +31,22 @@
 	request := &relaypb.TellRequest{Entries: encodeEntries(entries)}
 	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
-	var told sync.WaitGroup
-	relays := c.relays()
+	var wg sync.WaitGroup
+	relays := c.otherRelays()
 	for _, h := range relays {
-		told.Go(func() {
+		wg.Go(func() {
 			if err := c.peers.Tell(ctx, h.Address, request); err != nil {
-				c.log.Info().Err(err).Str("peer", h.Name).Msg("a peer was not told of requests in quarantine: it learns it when the store is back")
+				c.log.Info().Err(err).Str("peer", h.Name).Msg("failed to send quarantine records to a peer: it reads them when the store is back")
 			}
 		})
 	}
-	told.Wait()
-	c.log.Info().Int("records", len(puts)).Int("removed", len(remove)).Int("peers", len(relays)).Msg("peers told of requests in quarantine, as the store is away")
+	wg.Wait()
+	c.log.Info().Int("records", len(puts)).Int("removed", len(remove)).Int("peers", len(relays)).Msg("store unreachable: quarantine records sent to peers")
 	return nil
 }
 
-// relays returns the other hosts that relay for their failure domains and are not suspected.
-func (c *Control) relays() []Host {
+// otherRelays returns the relays of all failure domains except this host and suspected ones.
+func (c *Control) otherRelays() []Host {
 	v := c.View()
 	var all []Host
 	for domain := range v.Hosts {
@@ -59,12 +59,12 @@
 	return all
 }
 
-// Tell takes in what a peer hands over while the store is away.
+// Tell implements the relay protocol. It applies quarantine records received from a peer.
 func (c *Control) Tell(ctx context.Context, request *relaypb.TellRequest) *relaypb.TellReply {
 	c.state.do(ctx, func() {
 		for _, e := range decodeEntries(request.GetEntries()) {
 			if e.Kind == relaypb.EntryKind_QUARANTINE {
-				c.state.applyContained(e, time.Now())
+				c.state.applyOrSkip(e, time.Now())
 			}
 		}
 	})
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -14,60 +14,60 @@
 	"github.com/mallowgap/mallowgap/route"
 )
 
-// Host is a gateway as its entry in the store describes it.
+// Host is a gateway as described by its entry in the store.
 type Host struct {
 	Name     string
 	Address  string
 	Domain   string
 	Region   string
 	Strength float64
-	// Packs tells that it understands packed lists.
+	// Packs is set if the host understands compressed lists.
 	Packs bool
-	// Whole tells that it passes on requests that are not queries.
+	// Whole is set if the host also forwards requests that are not queries.
 	Whole bool
-	// revision is that of its entry.
+	// revision is the store revision of the entry.
 	revision uint64
 }
 
-// hostOf returns the host that an entry describes.
-func hostOf(h *relaypb.Host) Host {
+// hostFromEntry converts a store entry.
+func hostFromEntry(h *relaypb.Host) Host {
 	return Host{Name: h.GetName(), Address: h.GetAddress(), Domain: h.GetDomain(), Region: h.GetRegion(), Strength: h.GetStrength(), Packs: h.GetPacks(), Whole: h.GetWhole()}
 }
 
-// View is the control state that traffic reads. It is immutable.
+// View is an immutable snapshot of the control state for request handling.
 type View struct {
 	Table *route.Table
-	// TableSince is when the table came into force here.
+	// TableSince is when Table took effect on this host.
 	TableSince time.Time
-	// Hosts are all gateways known, this one included, by domain: the strongest
-	// first.
+	// Hosts are all known gateways by failure domain, including this one, strongest first.
 	Hosts map[string][]Host
-	// chooser chooses among them for servers with few connections.
-	chooser *chooser
+	// subsetter selects among Hosts for servers that accept few connections.
+	subsetter *subsetter
 	// Count is the number of hosts.
 	Count int
-	// Sharers is the number of hosts that share what is divided over a span of time, as the
-	// retry budget: those that went not long ago count.
+	// Sharers is the number of hosts that share limits over a time window, such as the retry
+	// budget. It includes hosts that disappeared recently.
 	Sharers int
-	// farRegions are the other regions in which hosts stand.
-	farRegions []string
-	// Known tells that the configuration and the servers are known.
+	// remoteRegions are the regions of all hosts except this host's own.
+	remoteRegions []string
+	// Known is set once the configuration and the servers are known.
 	Known bool
-	// Outdated is closed when another view is published.
+	// Outdated is closed when a newer view is published.
 	Outdated <-chan struct{}
-	// Doubted tells that the machine has just woken from a suspension and heard of nobody yet.
+	// Doubted is set after a suspension of the machine until the store or a leader has been
+	// heard.
 	Doubted bool
-	// Ready tells that requests are wanted.
+	// Ready is set while the host accepts requests.
 	Ready bool
-	// StoreLost is when the store was last found away; zero while it answers.
+	// StoreLost is when the store became unreachable; zero while it responds.
 	StoreLost time.Time
-	// Revision is that of the store up to which all is known.
+	// Revision is the store revision of this view.
 	Revision uint64
-	// cold is what a cold server takes, but for what its service says of it.
+	// cold limits the requests to a cold server, apart from the settings of its service.
 	cold limit.ColdBound
 }
 
-// revisions returns the revisions of the entries of all hosts.
+// revisions returns the revisions of all host entries by host name.
 func (v *View) revisions() map[string]uint64 {
 	revisions := make(map[string]uint64, v.Count)
 	for _, group := range v.Hosts {
@@ -78,32 +78,33 @@
 	return revisions
 }
 
-// Relays returns the hosts of a failure domain that call the servers there.
-func (v *View) Relays(domain string, most int) []Host {
+// Relays returns at most limit hosts of a failure domain, the ones that call the servers
+// there.
+func (v *View) Relays(domain string, limit int) []Host {
 	hosts := v.Hosts[domain]
 	if len(hosts) == 0 {
 		return []Host{}
 	}
-	return hosts[:min(most, len(hosts))]
+	return hosts[:min(limit, len(hosts))]
 }
 
-// Knows reports whether the store names a host of a failure domain. One that it does not
-// name yet calls servers itself.
+// Knows reports whether the host has an entry in a failure domain. A host without one calls
+// servers directly.
 func (v *View) Knows(name, domain string) bool {
-	return isAmong(v.Hosts[domain], name)
+	return containsHost(v.Hosts[domain], name)
 }
 
-// AnyFarRegion returns one of the regions in which other hosts stand, at
-// random, or an empty string.
+// AnyFarRegion returns a random region other than this host's own that has hosts, or an empty
+// string.
 func (v *View) AnyFarRegion() string {
-	if len(v.farRegions) == 0 {
+	if len(v.remoteRegions) == 0 {
 		return ""
 	}
-	return v.farRegions[rand.IntN(len(v.farRegions))]
+	return v.remoteRegions[rand.IntN(len(v.remoteRegions))]
 }
 
-// otherRegions returns the regions of the hosts without one's own, sorted.
-func otherRegions(hosts map[string]Host, own string) []string {
+// regionsExcept returns the sorted regions of the hosts without own.
+func regionsExcept(hosts map[string]Host, own string) []string {
 	seen := map[string]bool{}
 	for _, h := range hosts {
 		if h.Region != own {
@@ -113,7 +114,7 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// knowsAddress reports whether a host has an address.
+// knowsAddress reports whether address is that of a known host.
 func (v *View) knowsAddress(address string) bool {
 	for _, group := range v.Hosts {
 		for _, h := range group {
@@ -125,8 +126,8 @@
 	return false
 }
 
-// byDomain groups hosts by their failure domain, the strongest first.
-func byDomain(hosts map[string]Host) map[string][]Host {
+// groupByDomain groups hosts by failure domain, strongest first.
+func groupByDomain(hosts map[string]Host) map[string][]Host {
 	groups := map[string][]Host{}
 	for _, h := range hosts {
 		groups[h.Domain] = append(groups[h.Domain], h)
@@ -137,7 +138,7 @@
 	return groups
 }
 
-// compareHosts orders the strongest first, and by name between equals.
+// compareHosts orders hosts by descending strength, then by name.
 func compareHosts(a, b Host) int {
 	if c := cmp.Compare(b.Strength, a.Strength); c != 0 {
 		return c
@@ -146,38 +147,37 @@
 }
 
 const (
-	// defaultConns is the share of connections to a server whose limit is not
-	// known.
+	// defaultConns is the number of connections to a server without a connection limit.
 	defaultConns = 8
-	// connShare is the part of a server's connections that the gateways near it
-	// divide. Less than half, because a server does not notice at once that a
-	// gateway lost power: the connections of before and after must both fit.
+	// connShare is the fraction of a server's connection limit that its callers divide. It is
+	// less than half, because a server does not notice at once that a gateway lost power: the
+	// old connections and those after its restart must both fit.
 	connShare = 0.45
 )
 
-// Share returns this host's part of a server. Of the connections that the server accepts a
-// part is divided by the hosts that call it: the relays of its domain for a shard. Any other
-// server is called by every host where each can have a connection, and by a choice of them,
-// spread over the failure domains, where they are too many.
+// Share returns this host's share of a server. The callers divide a fraction of the
+// connections the server accepts. A shard is called by the relays of its failure domain. Any
+// other server is called by every host if each can have a connection, and otherwise by a
+// subset of the hosts, spread over the failure domains.
 func (v *View) Share(s discovery.Server, relaysPerDomain int) Share {
 	if v.Table == nil {
 		return Share{Conns: defaultConns, Hosts: 1}
 	}
 	service := v.Table.Service(s.Service)
-	own := Share{Conns: defaultConns, Hosts: max(v.Count, 1), Cold: v.cold, hosts: v.chooser, server: s}
-	own.Cold.PerSecond = service.ColdPerSecond
+	share := Share{Conns: defaultConns, Hosts: max(v.Count, 1), Cold: v.cold, allHosts: v.subsetter, server: s}
+	share.Cold.PerSecond = service.ColdPerSecond
 	usable := v.Count
 	if service.MaxConns > 0 {
 		usable = max(int(connShare*float64(service.MaxConns)), 1)
 	}
 	if v.Table.IsShard(s.Service) {
-		own.relays = v.Relays(s.Domain, min(relaysPerDomain, usable))
-		own.Hosts = max(len(own.relays), 1)
+		share.relays = v.Relays(s.Domain, min(relaysPerDomain, usable))
+		share.Hosts = max(len(share.relays), 1)
 	} else if v.Count > usable {
-		own.chooser, own.Hosts = v.chooser, usable
+		share.subset, share.Hosts = v.subsetter, usable
 	}
 	if service.MaxConns > 0 {
-		own.Conns = max(usable/own.Hosts, 1)
+		share.Conns = max(usable/share.Hosts, 1)
 	}
-	return own
+	return share
 }
--- a/internal/control/view_test.go
+++ b/internal/control/view_test.go
@@ -12,9 +12,10 @@
 	"github.com/mallowgap/mallowgap/route"
 )
 
-// viewOf returns a view of the hosts from a first to a last in six failure domains, with a
-// service of a number of connections that is no shard and one that is.
-func viewOf(t *testing.T, first, last, limit int) *View {
+// newTestView returns a view of the hosts numbered from first up to, but excluding, last, in
+// six failure domains. It has a shard and a service that is not one, both with the given
+// connection limit.
+func newTestView(t *testing.T, first, last, limit int) *View {
 	t.Helper()
 	hosts := map[string]Host{}
 	for i := first; i < last; i++ {
@@ -30,16 +31,16 @@
 				Query: &route.Query{Shards: []string{"shard"}, Top: 1, MinShare: 1}},
 		},
 	}
-	return &View{Table: route.NewTable(config), Hosts: byDomain(hosts), chooser: newChooser(byDomain(hosts)), Count: len(hosts)}
+	return &View{Table: route.NewTable(config), Hosts: groupByDomain(hosts), subsetter: newSubsetter(groupByDomain(hosts)), Count: len(hosts)}
 }
 
-// callers returns the names of the hosts that call a server, by their own view.
+// callers returns the names of the hosts that call a server according to this view.
 func (v *View) callers(s discovery.Server) map[string]bool {
-	own := v.Share(s, 3)
+	share := v.Share(s, 3)
 	names := map[string]bool{}
 	for _, group := range v.Hosts {
 		for _, h := range group {
-			if own.Calls(h.Name, h.Domain) {
+			if share.Calls(h.Name, h.Domain) {
 				names[h.Name] = true
 			}
 		}
@@ -47,62 +48,62 @@
 	return names
 }
 
-// A service that every host called had 195 connections where 120 are accepted. A server
-// still counts the connections of hosts that lost power, so that they must fit twice; and
-// hosts that have not heard of each other yet choose differently.
+// Checks that the connections of all callers stay within a server's limit, also when the
+// server still counts those of hosts that lost power, and when two sets of hosts choose
+// callers from different views.
 func TestConnectionsStayBelowTheLimitAtAnySize(t *testing.T) {
 	for _, hosts := range []int{1, 7, 60, 195, 1000} {
 		for _, limit := range []int{1, 2, 5, 26, 60, 120, 1200} {
 			for _, service := range []string{"single", "shard"} {
 				s := discovery.Server{ID: "i-1", Service: service, Domain: "d0"}
-				fresh, stale := viewOf(t, 0, hosts, limit), viewOf(t, hosts/10, hosts+hosts/10, limit)
-				own := fresh.Share(s, 3)
-				calm := len(fresh.callers(s)) * own.Conns
-				assert.Assert(t, calm <= limit, "%d hosts, limit %d, %s: %d connections", hosts, limit, service, calm)
+				fresh, stale := newTestView(t, 0, hosts, limit), newTestView(t, hosts/10, hosts+hosts/10, limit)
+				share := fresh.Share(s, 3)
+				total := len(fresh.callers(s)) * share.Conns
+				assert.Assert(t, total <= limit, "%d hosts, limit %d, %s: %d connections", hosts, limit, service, total)
 				if limit == 1 {
-					continue // One connection cannot be kept for a restart as well.
+					continue // A limit of one leaves no room for restarts.
 				}
-				assert.Assert(t, 2*calm <= limit, "%d hosts, limit %d, %s: %d connections in a restart", hosts, limit, service, 2*calm)
+				assert.Assert(t, 2*total <= limit, "%d hosts, limit %d, %s: %d connections in a restart", hosts, limit, service, 2*total)
 				union := fresh.callers(s)
 				for name := range stale.callers(s) {
 					union[name] = true
 				}
-				conns := max(own.Conns, stale.Share(s, 3).Conns)
+				conns := max(share.Conns, stale.Share(s, 3).Conns)
 				assert.Assert(t, len(union)*conns <= limit, "%d hosts, limit %d, %s: %d connections with two views", hosts, limit, service, len(union)*conns)
 			}
 		}
 	}
 }
 
-// A server that only some hosts call is called from all failure domains, and by the same
-// hosts when others come and go.
-func TestCallersOfAServer(t *testing.T) {
+// Checks that the callers of a server are spread over all failure domains and change little
+// when hosts come and go.
+func TestSubsetIsSpreadAndStable(t *testing.T) {
 	s := discovery.Server{ID: "i-1", Service: "single", Domain: "d3"}
-	v := viewOf(t, 0, 195, 120)
-	own := v.Share(s, 3)
-	assert.Equal(t, len(own.Callers()), 54)
+	v := newTestView(t, 0, 195, 120)
+	share := v.Share(s, 3)
+	assert.Equal(t, len(share.Callers()), 54)
 	domains := map[string]int{}
-	for _, h := range own.Callers() {
+	for _, h := range share.Callers() {
 		domains[h.Domain]++
 	}
 	assert.Equal(t, len(domains), 6)
-	assert.Equal(t, own.Callers()[0].Domain, "d3", "the nearest come first")
-	moved := 0
-	after := viewOf(t, 10, 195, 120).callers(s)
+	assert.Equal(t, share.Callers()[0].Domain, "d3", "expected the nearest hosts first")
+	replaced := 0
+	after := newTestView(t, 10, 195, 120).callers(s)
 	for name := range v.callers(s) {
 		if !after[name] {
-			moved++
+			replaced++
 		}
 	}
-	assert.Assert(t, moved <= 10, "%d of 54 changed when 10 of 195 hosts went", moved)
-	assert.Assert(t, viewOf(t, 0, 54, 120).Share(s, 3).Callers() == nil, "where all fit, all call it")
-	assert.Assert(t, viewOf(t, 0, 195, 0).Share(s, 3).Callers() == nil, "without a limit, all call it")
+	assert.Assert(t, replaced <= 10, "%d of 54 changed when 10 of 195 hosts went", replaced)
+	assert.Assert(t, newTestView(t, 0, 54, 120).Share(s, 3).Callers() == nil, "expected all hosts to call a server that accepts enough connections")
+	assert.Assert(t, newTestView(t, 0, 195, 0).Share(s, 3).Callers() == nil, "expected all hosts to call a server without a limit")
 }
 
-// The entries of a region of hosts lapse and come back within seconds: the parts of the
-// retry budget that the others took for theirs were larger meanwhile.
+// Guards against hosts enlarging their shares of the retry budget when the entries of a
+// region disappear for a few seconds.
 func TestHostsThatWentShareTheBudgetForAWhile(t *testing.T) {
-	s := newState(jsonDecoder{}, noListener{}, Host{Name: "host0", Domain: "d0", Region: "r"}, 3, zerolog.Nop())
+	s := newState(jsonDecoder{}, noopListener{}, Host{Name: "host0", Domain: "d0", Region: "r"}, 3, zerolog.Nop())
 	now := time.Unix(1000, 0)
 	all := fleetEntries(60, 1, 1)
 	s.applyReading(Reading{Revision: 1, Entries: all}, now)
@@ -111,7 +112,7 @@
 	s.applyReading(Reading{Revision: 2, Entries: all[:20]}, now)
 	assert.Equal(t, s.view().Count, 20)
 	assert.Equal(t, s.view().Sharers, 60)
-	now = now.Add(sharerLife + time.Second)
+	now = now.Add(sharerGrace + time.Second)
 	s.publish(now)
 	assert.Equal(t, s.view().Sharers, 20)
 	s.applyReading(Reading{Revision: 3, Entries: fleetEntries(60, 1, 3)}, now)
--- a/internal/control/wake.go
+++ b/internal/control/wake.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// clockTick is the interval at which a host looks whether it was suspended. The two reads
-	// of clocks cost 0.5 us together (suspend.BenchmarkTotal).
-	clockTick = 100 * time.Millisecond
-	// leastSuspension is the least suspension that is acted upon: a shorter one is within what
-	// every timeout between hosts allows for.
-	leastSuspension = 250 * time.Millisecond
-	// doubtLimit bounds for how long a host that has woken is not ready where neither the
-	// store nor a peer answers: what it knows then stays in force, as in any outage.
-	doubtLimit = time.Second
+	// suspensionCheckInterval is how often a host checks whether it was suspended.
+	suspensionCheckInterval = 100 * time.Millisecond
+	// minSuspension is the shortest suspension to handle. All timeouts between hosts tolerate
+	// shorter ones.
+	minSuspension = 250 * time.Millisecond
+	// maxUnconfirmed is how long a resumed host is not ready if neither the store nor a
+	// leader responds. After it, the last known state is used, as in any outage.
+	maxUnconfirmed = time.Second
 )
 
 var suspensions = metrics.GetOrCreateCounter("mallowgap_suspensions_total")
 
-// watchClock finds out that the machine was suspended. The steady clock, and with it every
-// timer, lease and age here, stood still meanwhile; the other hosts and the store went on.
-func (c *Control) watchClock(ctx context.Context) {
-	before := c.suspended()
-	for pause.For(ctx, clockTick); ctx.Err() == nil; pause.For(ctx, clockTick) {
+// detectSuspensions handles suspensions of the machine. The monotonic clock, and with it all
+// timers, leases and ages, stands still during a suspension, while the other hosts and the
+// store go on.
+func (c *Control) detectSuspensions(ctx context.Context) {
+	previous := c.suspended()
+	for pause.For(ctx, suspensionCheckInterval); ctx.Err() == nil; pause.For(ctx, suspensionCheckInterval) {
 		total := c.suspended()
-		if slept := total - before; slept >= leastSuspension {
-			c.woke(ctx, slept)
+		if suspendedFor := total - previous; suspendedFor >= minSuspension {
+			c.onResume(ctx, suspendedFor)
 		}
-		before = total
+		previous = total
 	}
 }
 
-// woke takes in that the machine was suspended for a time. What is known is as much older,
-// and counts as doubtful until the store or a host that is followed has been heard: a host
-// that woke was ready at once with a configuration, evacuations and servers that had changed
-// meanwhile. Connections that were open may be silent for good.
-func (c *Control) woke(ctx context.Context, slept time.Duration) {
+// onResume handles a suspension of the machine. The state has aged by its duration and counts
+// as unconfirmed until the store or a leader has been heard, because configuration,
+// evacuations and servers may have changed. Open connections may be dead.
+func (c *Control) onResume(ctx context.Context, suspendedFor time.Duration) {
 	suspensions.Inc()
-	c.log.Warn().Dur("slept", slept).Msg("the machine was suspended: what is known is doubtful until it is confirmed")
-	c.state.do(ctx, func() { c.state.woke(slept, time.Now()) })
-	c.announce.woke()
+	c.log.Warn().Dur("slept", suspendedFor).Msg("machine was suspended: waiting for the state to be confirmed")
+	c.state.do(ctx, func() { c.state.onResume(suspendedFor, time.Now()) })
+	c.announcer.onResume()
 	for _, hosts := range c.View().Hosts {
 		for _, h := range hosts {
 			c.peers.Forget(h.Address)
 		}
 	}
 	c.store.Reconnect()
-	nudge(c.awake)
+	notify(c.resumed)
 }
 
-// whileAwake makes a call of the store that ends when the machine turns out to have been
-// suspended: its connection may be silent for good, and its timeout has not run meanwhile.
-func (c *Control) whileAwake(ctx context.Context, call func(context.Context) error) error {
+// untilResume makes a store call and cancels it if the machine turns out to have been
+// suspended: the connection may be dead, and the call's timeout did not run during the
+// suspension.
+func (c *Control) untilResume(ctx context.Context, call func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan error, 1)
@@ -64,35 +64,37 @@
 	select {
 	case err := <-done:
 		return err
-	case <-c.awake:
+	case <-c.resumed:
 		cancel()
 		<-done
-		return errWoke
+		return errResumed
 	}
 }
 
-// woke makes what is known older by the time for which the machine was suspended.
-func (s *state) woke(slept time.Duration, now time.Time) {
-	for _, at := range []*time.Time{&s.contact, &s.storeLost, &s.trustHosts, &s.fewerSince, &s.tableSince, &s.tally.toldAt} {
+// onResume shifts all times of the state into the past by the duration of the suspension.
+func (s *state) onResume(suspendedFor time.Duration, now time.Time) {
+	for _, at := range []*time.Time{&s.lastContact, &s.storeLost, &s.hostGraceEnd, &s.fewerSince, &s.tableSince, &s.tally.loggedAt} {
 		if !at.IsZero() {
-			*at = at.Add(-slept)
+			*at = at.Add(-suspendedFor)
 		}
 	}
-	s.registry.Slept(slept)
-	s.doubted = now
-	s.listener.Slept(slept)
+	s.registry.Slept(suspendedFor)
+	s.unconfirmedSince = now
+	s.listener.Slept(suspendedFor)
 	s.publish(now)
 }
 
-// assure notes that the store, or a host that reads it, was heard after the machine woke.
-func (s *state) assure(now time.Time) { s.endDoubt("what is known is confirmed", now) }
+// confirm records that the store, or a leader that reads it, has been heard.
+func (s *state) confirm(now time.Time) {
+	s.clearUnconfirmed("state confirmed after the suspension", now)
+}
 
-// endDoubt lets what is known count again, for the reason given.
-func (s *state) endDoubt(why string, now time.Time) {
-	if s.doubted.IsZero() {
+// clearUnconfirmed makes an unconfirmed state count again, and logs why.
+func (s *state) clearUnconfirmed(message string, now time.Time) {
+	if s.unconfirmedSince.IsZero() {
 		return
 	}
-	s.log.Info().Dur("doubted", now.Sub(s.doubted)).Uint64("revision", s.revision).Msg(why)
-	s.doubted = time.Time{}
+	s.log.Info().Dur("doubted", now.Sub(s.unconfirmedSince)).Uint64("revision", s.revision).Msg(message)
+	s.unconfirmedSince = time.Time{}
 	s.publish(now)
 }
--- a/internal/control/wire.go
+++ b/internal/control/wire.go
@@ -10,54 +10,54 @@
 	"github.com/mallowgap/mallowgap/internal/packing"
 )
 
-// entryPacker packs entries for peers. The followers of a host mostly want the
-// same ones at the same moment, so that the last result is kept.
+// entryPacker compresses entries for peers. It caches the last result, because most followers
+// need the same entries at the same time.
 type entryPacker struct {
 	mu sync.Mutex
-	// known and state tell for whom the last result was: for peers that knew this
-	// revision, while the control state was the one that ends with this channel.
-	known  uint64
-	state  <-chan struct{}
-	packed []byte
+	// known and changed are the key of the cached result: the revision the peers knew, and
+	// the channel that identifies the version of the control state.
+	known   uint64
+	changed <-chan struct{}
+	packed  []byte
 }
 
-// pack returns in packed form what a peer that knows a revision has not heard.
-func (p *entryPacker) pack(known uint64, n updates) ([]byte, error) {
+// pack returns the compressed entries for a peer that knows a revision.
+func (p *entryPacker) pack(known uint64, u updates) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.packed != nil && p.known == known && p.state == n.changed {
+	if p.packed != nil && p.known == known && p.changed == u.changed {
 		return p.packed, nil
 	}
-	plain, err := proto.Marshal(&relaypb.EntryList{Entries: encodeEntries(n.Entries)})
+	plain, err := proto.Marshal(&relaypb.EntryList{Entries: encodeEntries(u.Entries)})
 	if err != nil {
 		return nil, fmt.Errorf("encode entries: %w", err)
 	}
-	p.known, p.state, p.packed = known, n.changed, packing.Deflate(plain)
+	p.known, p.changed, p.packed = known, u.changed, packing.Deflate(plain)
 	return p.packed, nil
 }
 
-// unpackEntries returns the entries of a reply of a peer, packed or plain.
+// unpackEntries returns the entries of a peer's reply, compressed or plain.
 func unpackEntries(packed []byte, plain []*relaypb.Entry) ([]Entry, error) {
 	if packed == nil {
 		return decodeEntries(plain), nil
 	}
 	encoded, err := packing.Inflate(packed)
 	if err != nil {
-		return nil, fmt.Errorf("entries of a peer: %w", err)
+		return nil, fmt.Errorf("inflate entries of a peer: %w", err)
 	}
 	var list relaypb.EntryList
 	if err := proto.Unmarshal(encoded, &list); err != nil {
-		return nil, fmt.Errorf("entries of a peer: %w", err)
+		return nil, fmt.Errorf("decode entries of a peer: %w", err)
 	}
 	return decodeEntries(list.GetEntries()), nil
 }
 
-// entriesFor returns the entries for a peer that knows a revision, plain or packed.
-func (c *Control) entriesFor(packs bool, known uint64, n updates) ([]*relaypb.Entry, []byte, error) {
-	if !packs || len(n.Entries) == 0 {
-		return encodeEntries(n.Entries), nil, nil
+// entriesFor returns the entries for a peer, plain, or compressed if the peer supports it.
+func (c *Control) entriesFor(packs bool, known uint64, u updates) ([]*relaypb.Entry, []byte, error) {
+	if !packs || len(u.Entries) == 0 {
+		return encodeEntries(u.Entries), nil, nil
 	}
-	packed, err := c.packer.pack(known, n)
+	packed, err := c.packer.pack(known, u)
 	return nil, packed, err
 }
 
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -21,48 +21,50 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// world is a fleet of control sides on one store, in fake time.
-type world struct {
+// cluster is a set of hosts that share one store, in fake time.
+type cluster struct {
 	t     *testing.T
 	ctx   context.Context
 	store *fakestore.Store
 	mu    sync.Mutex
-	hosts map[string]*member
+	hosts map[string]*testHost
 }
 
-// member is one host of the fleet.
-type member struct {
+// testHost is one host of the cluster.
+type testHost struct {
 	*control.Control
 	store  *fakestore.Parted
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// nothing takes what changes and does nothing.
-type nothing struct{}
+// noopListener ignores all changes.
+type noopListener struct{}
 
-func (nothing) ServersChanged([]discovery.Server, func(discovery.Server) control.Share, time.Time) {}
-func (nothing) ServerGone(discovery.Server)                                                        {}
-func (nothing) TableChanged(*route.Table)                                                          {}
-func (nothing) QuarantineChanged(control.Entry, time.Time)                                         {}
-func (nothing) Slept(time.Duration)                                                                {}
+func (noopListener) ServersChanged([]discovery.Server, func(discovery.Server) control.Share, time.Time) {
+}
+func (noopListener) ServerGone(discovery.Server)                {}
+func (noopListener) TableChanged(*route.Table)                  {}
+func (noopListener) QuarantineChanged(control.Entry, time.Time) {}
+func (noopListener) Slept(time.Duration)                        {}
 
+// lease is the TTL of the leases of host entries.
 const lease = 12 * time.Second
 
-// inWorld runs a test with n hosts in each of three regions of two domains each. The
-// first three of each region are as strong as four others.
-func inWorld(t *testing.T, n int, run func(w *world)) {
+// withCluster runs a test with n hosts in each of three regions of two failure domains. The
+// first three hosts of each region are stronger than the others.
+func withCluster(t *testing.T, n int, run func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := &world{t: t, ctx: ctx, store: fakestore.New(), hosts: map[string]*member{}}
-		w.store.PutConfig(configOf(1))
+		c := &cluster{t: t, ctx: ctx, store: fakestore.New(), hosts: map[string]*testHost{}}
+		c.store.PutConfig(testConfig(1))
 		for _, region := range regions {
 			for i := range n {
-				w.start(nameOf(region, i))
+				c.start(hostName(region, i))
 			}
 		}
 		time.Sleep(3 * time.Second)
-		run(w)
+		run(c)
 		cancel()
 		synctest.Wait()
 	})
@@ -70,16 +72,16 @@
 
 var regions = []string{"a", "b", "c"}
 
-func nameOf(region string, i int) string { return fmt.Sprintf("%s%03d", region, i) }
+func hostName(region string, i int) string { return fmt.Sprintf("%s%03d", region, i) }
 
-func configOf(version uint64) route.Config {
+func testConfig(version uint64) route.Config {
 	return route.Config{Version: version, Services: []route.Service{{Name: "s", MaxConns: 60}}, Routes: []route.Route{
 		{Name: "one", Host: "h", Prefix: "/", Timeout: time.Second, Objective: time.Second, MaxAttempts: 1, Targets: []route.Target{{Service: "s", Weight: 1}}},
 	}}
 }
 
-// start starts the process of a host. Its name is its address.
-func (w *world) start(name string) *member {
+// start starts a host. Its name is also its address.
+func (c *cluster) start(name string) *testHost {
 	region := name[:1]
 	var i int
 	_, _ = fmt.Sscanf(name[1:], "%d", &i)
@@ -92,63 +94,65 @@
 		CallTimeout: durationpb.New(fakestore.Timeout), WatchWait: durationpb.New(800 * time.Millisecond),
 		WatchSlack: durationpb.New(400 * time.Millisecond), Lease: durationpb.New(lease),
 	}
-	m := &member{store: &fakestore.Parted{Store: w.store}}
+	m := &testHost{store: &fakestore.Parted{Store: c.store}}
 	m.Control = control.New(control.Config{
 		Suspended: func() time.Duration { return 0 },
-		Self:      self, Settings: settings, Seeds: []string{nameOf("a", 0), nameOf("b", 0), nameOf("c", 0)}, RelaysPerDomain: 3,
-		Store: m.store, Peers: &peers{w, name}, Listener: nothing{}, Log: zerolog.Nop(),
+		Self:      self, Settings: settings, Seeds: []string{hostName("a", 0), hostName("b", 0), hostName("c", 0)}, RelaysPerDomain: 3,
+		Store: m.store, Peers: &peers{c, name}, Listener: noopListener{}, Log: zerolog.Nop(),
 	})
-	m.ctx, m.cancel = context.WithCancel(w.ctx)
-	w.mu.Lock()
-	w.hosts[name] = m
-	w.mu.Unlock()
+	m.ctx, m.cancel = context.WithCancel(c.ctx)
+	c.mu.Lock()
+	c.hosts[name] = m
+	c.mu.Unlock()
 	m.Start(m.ctx)
 	return m
 }
 
-// kill ends the process of a host at once.
-func (w *world) kill(name string) {
-	w.mu.Lock()
-	m := w.hosts[name]
-	delete(w.hosts, name)
-	w.mu.Unlock()
+// kill stops a host abruptly.
+func (c *cluster) kill(name string) {
+	c.mu.Lock()
+	m := c.hosts[name]
+	delete(c.hosts, name)
+	c.mu.Unlock()
 	m.cancel()
 }
 
-// announced returns the number of hosts that a host knows by their entries.
-func (w *world) announced(at string) int {
+// knownHosts returns the number of hosts that the host at knows by their entries.
+func (c *cluster) knownHosts(at string) int {
 	n := 0
-	for _, group := range w.hosts[at].View().Hosts {
+	for _, group := range c.hosts[at].View().Hosts {
 		n += len(group)
 	}
 	return n
 }
 
-// await returns after what time something holds, or fails.
-func (w *world) await(most time.Duration, what string, holds func() bool) time.Duration {
-	w.t.Helper()
+// await waits until a condition holds and returns the elapsed time, or fails the test after
+// timeout.
+func (c *cluster) await(timeout time.Duration, what string, holds func() bool) time.Duration {
+	c.t.Helper()
 	start := time.Now()
 	for !holds() {
-		if time.Since(start) > most {
-			w.t.Fatalf("%s: not within %v", what, most)
+		if time.Since(start) > timeout {
+			c.t.Fatalf("%s: condition not met within %v", what, timeout)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(start)
 }
 
-// peers is one host's way to the others.
+// peers connects one host to the others.
 type peers struct {
-	world *world
-	name  string
+	cluster *cluster
+	name    string
 }
 
 var errUnreachable = errors.New("unreachable")
 
-func (p *peers) find(address string) (*member, error) {
-	p.world.mu.Lock()
-	defer p.world.mu.Unlock()
-	if m := p.world.hosts[address]; m != nil && m.ctx.Err() == nil {
+// lookup returns the running host with an address.
+func (p *peers) lookup(address string) (*testHost, error) {
+	p.cluster.mu.Lock()
+	defer p.cluster.mu.Unlock()
+	if m := p.cluster.hosts[address]; m != nil && m.ctx.Err() == nil {
 		return m, nil
 	}
 	return nil, errUnreachable
@@ -157,7 +161,7 @@
 func (p *peers) Forget(string) {}
 
 func (p *peers) State(ctx context.Context, address string, r *relaypb.StateRequest) (*relaypb.StateReply, error) {
-	m, err := p.find(address)
+	m, err := p.lookup(address)
 	if err != nil {
 		return nil, err
 	}
@@ -165,7 +169,7 @@
 }
 
 func (p *peers) Tell(ctx context.Context, address string, r *relaypb.TellRequest) error {
-	m, err := p.find(address)
+	m, err := p.lookup(address)
 	if err == nil {
 		m.Tell(ctx, r)
 	}
@@ -173,18 +177,18 @@
 }
 
 func (p *peers) Follow(ctx context.Context, address string, r *relaypb.FollowRequest, received func(*relaypb.FollowReply)) error {
-	m, err := p.find(address)
+	m, err := p.lookup(address)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(m.ctx, cancel) // The stream ends with the process.
+	stop := context.AfterFunc(m.ctx, cancel) // The stream ends when the host stops.
 	defer stop()
 	return m.Follow(r, &stream{ctx: ctx, received: received})
 }
 
-// stream hands what is sent to the receiver.
+// stream is a server stream that passes sent messages directly to the receiver.
 type stream struct {
 	drpc.Stream
 	ctx      context.Context
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -128,6 +128,6 @@
 		time.Sleep(1500 * time.Millisecond)
 		assert.Assert(w.t, w.hosts["host1"].Ready())
 	})
-	assert.Equal(t, strings.Count(log.String(), "what is known is confirmed"), 0)
-	assert.Equal(t, strings.Count(log.String(), "nobody has confirmed what is known"), 1)
+	assert.Equal(t, strings.Count(log.String(), "state confirmed after the suspension"), 0)
+	assert.Equal(t, strings.Count(log.String(), "state not confirmed in time after the suspension"), 1)
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -52,7 +52,7 @@
 TestNotRepeatableRequestIsSentOnce@internal/gateway/query.go@s/if !q.mayHaveRun && !q.running\(\) &&/if/@a request that may have run is called not run
 TestDrainingServerGetsNothingNew@internal/gateway/fleet.go@s/if s.Draining \|\| s.Evacuated \{/if s.Evacuated {/@a draining server gets requests
 TestCallerThatLeavesEndsItsCalls@internal/gateway/query.go@s/if ctx.Err\(\) != nil \|\| !q.running\(\)/if !q.running()/@calls go on after the caller has left
-TestFollowersLearnInTimeWhateverBecomesOfTheLeader@internal/control/follow.go@s/time.After\(silenceLimit\)/time.After(time.Hour)/@a silent leader is followed for ever
+TestFollowersLearnInTimeWhateverBecomesOfTheLeader@internal/control/follow.go@s/time.After\(leaderTimeout\)/time.After(time.Hour)/@a silent leader is followed for ever
 TestNoTwoHostsFollowEachOther@internal/control/follow.go@s/compareHosts\(h, self\) >= 0/compareHosts(h, self) > 1/@two hosts follow each other
 TestConnectionsLeaveRoomForARestart@internal/control/view.go@s/connShare = 0.45/connShare = 0.9/@connections of before and after a power loss do not fit
 TestWindowHoldsOverAnySpan@retry/window.go@s/> permitted \|\| .*permitted \{/> 2*permitted {/@the window permits too much
@@ -77,8 +77,8 @@
 TestBudgetGoesFirstToQueriesThatLackLittle@fanout/extra.go@s/lackingStep     = 0.1/lackingStep     = 0.0/@all queries take from the budget alike
 TestPackedRepliesComeBack@internal/gateway/relaywire.go@s/(func unpackReply.*?)!= relaypb.Outcome_PART/$1== relaypb.Outcome_NOT_SENT/s@signatures go to results that are no parts
 TestForgottenConnectionsAreNotUsed@internal/peer/client.go@s/_ = conn.Close\(\) \/\/ Nothing/defer c.pool.Put(address, conn) \/\/ Nothing/@silent connections are kept
-TestHostsDoNotGoBackToOneThatLostTheStore@internal/control/follow.go@s/now.Add\(heldOffFor \+ rand.N\(heldOffFor\/2\)\)/now/@a host that lost the store is followed again at once
-TestEntriesArePacked@internal/control/wire.go@s/p.known == known && p.state == n.changed/p.known == known/@entries of an older state are sent
+TestHostsDoNotGoBackToOneThatLostTheStore@internal/control/follow.go@s/now.Add\(leaderCooldown \+ rand.N\(leaderCooldown\/2\)\)/now/@a host that lost the store is followed again at once
+TestEntriesArePacked@internal/control/wire.go@s/p.known == known && p.changed == u.changed/p.known == known/@entries of an older state are sent
 TestEjectedReplicaIsNotVouchedFor@replica/report.go@s/silent \|\| o.Ejected/silent/@a server that fails at once is vouched for
 TestFollowerOfACutLeaderLearnsAfterACompaction@internal/control/follow.go@s/if errors.Is\(err, ErrCompacted\) \{/if false {/@a compacted history is taken for a lost store
 TestThreeTimesTheCallers@internal/gateway/serve.go@s/if refused, ok := p.admit\(time.Now\(\)\); !ok \{/if refused, ok := p.admit(time.Now()); !ok && false {/@nothing is refused in an overload
@@ -87,15 +87,15 @@
 TestReplicaThatLosesAnswersIsChosenLess@replica/eject.go@s/\tleaf.lost \+= smoothing \* \(1 - leaf.lost\)\n//@failures do not count in the choice of a server
 TestFloodOfTheLowerRankLeavesTheHigherAlone@admission/gate.go@s/floorShare\*\(1-g.refuse\)\*g.offered\(\)\/r.work/0.2/@the floor of a rank grows with what it asks
 TestLateCallersComeLast@admission/gate.go@s/if r.late != ask.Late \{/if false {/@callers that come back late go with the others
-TestWritesDoNotGrowWithTheHosts@internal/control/announce.go@s/if a.followed.Load\(\) \{/if false {/@hosts that follow another announce themselves
-TestEntryOfALostFollowerGoes@internal/control/announce.go@s/leaveGrace = 3 \* time.Second/leaveGrace = time.Hour/@the entry of a lost follower stays
+TestWritesDoNotGrowWithTheHosts@internal/control/announce.go@s/if a.delegated.Load\(\) \{/if false {/@hosts that follow another announce themselves
+TestEntryOfALostFollowerGoes@internal/control/announce.go@s/followerGrace = 3 \* time.Second/followerGrace = time.Hour/@the entry of a lost follower stays
 TestEntriesOutliveTheHostThatKeepsThem@internal/control/announce.go@s/\t\tdelete\(a.written, a.name\).*?\n//@a host takes an entry that another has overwritten for its own
 TestPlannedStopRemovesTheEntry@internal/control/follow.go@s/request.Leaving, leave = true, nil/leave = nil/@a planned stop is not told
 TestCallsInAnOutageDoNotGrowWithTheHosts@internal/control/follow.go@s/rank <= storeProbers/rank < 1000/@all hosts ask a lost store
-TestRestartsInAnOutage@internal/control/sync.go@s/!c.loaded && !c.introduced && v.Known/false/@what peers told is no reading
-TestStoreThatRefusesTheFirstHosts@internal/control/sync.go@s/maxAsked = 6/maxAsked = 0/@no peer is asked while the store is away
+TestRestartsInAnOutage@internal/control/sync.go@s/!c.loaded && !c.discovered && v.Known/false/@what peers told is no reading
+TestStoreThatRefusesTheFirstHosts@internal/control/sync.go@s/maxPeersQueried = 6/maxPeersQueried = 0/@no peer is asked while the store is away
 TestHostsThatWentShareTheBudgetForAWhile@internal/control/state.go@s/return s.sharers\n/return n\n/@hosts that went leave their budget to the others at once
-TestLinesDoNotGrowWithTheEntries@internal/control/state.go@s/if !s.view\(\).Share\(server, s.relays\).Calls\(s.self.Name, s.self.Domain\) \{/if false {/@every host tells of every server
+TestLinesDoNotGrowWithTheEntries@internal/control/state.go@s/if !s.view\(\).Share\(server, s.relaysPerDomain\).Calls\(s.self.Name, s.self.Domain\) \{/if false {/@every host tells of every server
 TestLinesBeyondTheBoundAreCountedInTheNextLine@internal/obs/bounded.go@s/e.Int64\("left_out", n\)//@lines that are left out are not told
 TestConnectionsStayBelowTheLimitAtAnySize@internal/control/view.go@s/else if v.Count > usable \{/else if false {/@every host calls a server whatever it accepts
 TestHostsPassRequestsOnWhereAServerHasFewConnections@internal/gateway/relay.go@s/if w.whole && r.reply != nil \{/if false {/@whole replies are lost on the way
@@ -121,7 +121,7 @@
 TestBarOutlivesTheHosts|TestEveryKindOfRequestIsBarred@internal/guard/guard.go@s/g.keeper.PutRecord\(/_ = func(string, []byte) {}; func(string, []byte) {}(/@what a host saw is not told
 TestLogTellsWithWhichRequestAServerEnded@internal/gateway/send.go@s/out.ended = g.edges.Leafs.Ended\(ctx, c.backend.Server\)/out.ended = true/@each broken connection counts as the end of a server
 TestServersThatAreBackAtOnceAreKnownToHaveEnded@internal/guard/guard.go@s/range g.witnesses.Ended\(process, now\) \{/range g.witnesses.Ended(process, now)[:0] {/@entries are no witnesses of an end
-TestHostThatWakesAloneIsReadyAgain@internal/control/wake.go@s/\ts.doubted = now\n//@a host that wakes does not doubt what it knows
+TestHostThatWakesAloneIsReadyAgain@internal/control/wake.go@s/\ts.unconfirmedSince = now\n//@a host that wakes does not doubt what it knows
 TestRequestInHandEndsWithASuspension@internal/gateway/sleep.go@s/q.end, q.due, q.offerBy = q.end.Add\(-d\)/q.end, q.due, q.offerBy = q.end.Add(0)/; s/\tq.state.Slept\(d\)\n//@a request in hand does not count a suspension
 TestEndsArePutDownToOneRequest@quarantine/standing.go@s/if other.Standing == Barred && other.outweighs\(s\) \{/if false {/@an end counts for every request that saw it
 TestStanding@quarantine/standing.go@s/if !c.served.IsZero\(\) \{\n\t\ts.Standing = min/if false {\n\t\ts.Standing = min/@what was served is barred all the same
@@ -132,7 +132,7 @@
 TestQueryOfWhichNothingCameSendsNoCopies@internal/gateway/attempt.go@s/need.Hedge && q.holdsCopies\(now\)/false/@copies go out before any shard has answered
 TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.tellEnds\(now\) \/\/ A repeat.*//@others hear when the trial is over
 TestQueryThatLacksServersIsRefusedAtOnce@internal/gateway/serve.go@s/p.lacksServers\(time.Now\(\)\)/false/@queries wait for servers that are gone
-TestHostsWithoutTheStoreDoNotEachFindOut@internal/control/records.go@s/if c.storeAway\(\) \{\n\t\tc.word.put/if false {\n\t\tc.word.put/@peers are not told while the store is away
+TestHostsWithoutTheStoreDoNotEachFindOut@internal/control/records.go@s/if c.storeLost\(\) \{\n\t\tc.peerRecords.put/if false {\n\t\tc.peerRecords.put/@peers are not told while the store is away
 TestHostThatWasToldLeavesTheTrialToTheOther@internal/gateway/trial.go@s/q.awaitVerdict\(guard.VerdictBy\(f\)\)/q.trial.Suspect(time.Time{})/@a host that was told begins trials of its own
 TestStanding@quarantine/standing.go@s/LeastTrials = 2/LeastTrials = 1/@one end on trial is enough
 LIST
