--- a/internal/control/fakestore/fakestore.go
+++ b/internal/control/fakestore/fakestore.go
@@ -1,5 +1,5 @@
-// Package fakestore is a platform's store in memory, for tests of the packages that
-// work with one. It can be down, cut off for one host and forget its history.
+// Package fakestore provides an in-memory store for tests. It can be down, unreachable from
+// single hosts, and lose its history.
 package fakestore
 
 import (
@@ -16,35 +16,39 @@
 	"github.com/mallowgap/mallowgap/route"
 )
 
+// entryKey identifies an entry.
 type entryKey struct {
 	kind relaypb.EntryKind
 	name string
 }
 
-// Store keeps entries in memory; it implements control.Store.
+// Store is an in-memory control.Store.
 type Store struct {
 	mu       sync.Mutex
 	revision uint64
-	entries  map[entryKey]control.Entry
-	events   []control.Entry
-	changed  chan struct{}
-	down     bool
-	// compacted is the revision up to which the history is gone.
+	// entries holds the current entries, events all changes in order. changed is closed and
+	// replaced on each change.
+	entries map[entryKey]control.Entry
+	events  []control.Entry
+	changed chan struct{}
+	down    bool
+	// compacted is the revision up to which the history is lost.
 	compacted uint64
 	leases    map[uint64]bool
 	lastLease uint64
-	// leaseOf names the lease of each entry of a host.
+	// leaseOf is the lease of each host entry.
 	leaseOf map[string]uint64
 	// Calls counts reads and watches.
 	Calls atomic.Int64
-	// Writes counts leases and writes, Renewals renewals.
+	// Writes counts writes and created leases and entries, Renewals the renewals of leases.
 	Writes, Renewals atomic.Int64
 }
 
-// Timeout is the bound of a call of the store in the fake world.
+// Timeout is the timeout of a store call in tests.
 const Timeout = 600 * time.Millisecond
 
-// Parted is one host's way to the store, which can be cut: calls hang.
+// Parted connects one host to the store. While it is cut, reads, watches, creates and writes of
+// quarantine records hang until they time out.
 type Parted struct {
 	*Store
 	Cut atomic.Bool
@@ -69,8 +73,8 @@
 	return r, err
 }
 
-// Write implements control.Store. A cut concerns what is written in quarantine; the entries
-// of hosts are withdrawn without a bound in time, which a world that ends does not wait for.
+// Write implements control.Store. A cut only affects quarantine records: hosts remove their
+// own entries without a timeout when a test ends, and would block it.
 func (s *Parted) Write(ctx context.Context, kind relaypb.EntryKind, lease uint64, puts map[string][]byte, remove []string) (uint64, error) {
 	if s.Cut.Load() && kind == relaypb.EntryKind_QUARANTINE {
 		time.Sleep(Timeout)
@@ -88,7 +92,7 @@
 	return s.Store.Create(ctx, kind, name)
 }
 
-// ErrDown is what calls end with while the store is down.
+// ErrDown is returned by calls while the store is down.
 var ErrDown = errors.New("the store is down")
 
 // New returns an empty store.
@@ -96,16 +100,17 @@
 	return &Store{entries: map[entryKey]control.Entry{}, changed: make(chan struct{}), leases: map[uint64]bool{}, leaseOf: map[string]uint64{}}
 }
 
-// Apply writes or removes an entry under a new revision.
+// Apply writes or removes an entry in a new revision.
 func (s *Store) Apply(e control.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	e.Revision = s.revision
 	s.put(e)
-	s.wake()
+	s.wakeWatchers()
 }
 
+// put records a change. The caller holds mu.
 func (s *Store) put(e control.Entry) {
 	if e.Removed {
 		delete(s.entries, entryKey{e.Kind, e.Name})
@@ -115,8 +120,8 @@
 	s.events = append(s.events, e)
 }
 
-// wake ends the watches that wait.
-func (s *Store) wake() {
+// wakeWatchers wakes the pending watches. The caller holds mu.
+func (s *Store) wakeWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -138,17 +143,17 @@
 	s.Apply(control.Entry{Kind: relaypb.EntryKind_SERVER, Name: id, Removed: true})
 }
 
-// PutRaw writes an entry of a server with any value.
+// PutRaw writes a server entry with an arbitrary value.
 func (s *Store) PutRaw(id string, value []byte) {
 	s.Apply(control.Entry{Kind: relaypb.EntryKind_SERVER, Name: id, Value: value})
 }
 
-// Evacuate asks for the evacuation of a failure domain, or takes it back.
-func (s *Store) Evacuate(domain string, asked bool) {
-	s.Apply(control.Entry{Kind: relaypb.EntryKind_EVACUATION, Name: domain, Removed: !asked})
+// Evacuate starts or ends the evacuation of a failure domain.
+func (s *Store) Evacuate(domain string, active bool) {
+	s.Apply(control.Entry{Kind: relaypb.EntryKind_EVACUATION, Name: domain, Removed: !active})
 }
 
-// SetDown makes all calls fail, or work again.
+// SetDown makes all calls fail, or succeed again.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +162,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history: who watches from an earlier revision must read again.
+// Forget compacts the history: watches from earlier revisions fail with ErrCompacted.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +188,7 @@
 
 // Watch implements control.Store.
 func (s *Store) Watch(ctx context.Context, after uint64, wait time.Duration) (control.Reading, error) {
-	end := time.After(wait)
+	timeout := time.After(wait)
 	s.mu.Lock()
 	s.Calls.Add(1)
 	s.mu.Unlock()
@@ -207,7 +212,7 @@
 		}
 		select {
 		case <-changed:
-		case <-end:
+		case <-timeout:
 			return r, nil
 		case <-ctx.Done():
 			return control.Reading{}, ctx.Err()
@@ -249,7 +254,7 @@
 	for _, name := range remove {
 		s.put(control.Entry{Kind: kind, Name: name, Revision: s.revision, Removed: true})
 	}
-	s.wake()
+	s.wakeWatchers()
 	return s.revision, nil
 }
 
@@ -261,19 +266,19 @@
 	if s.down {
 		return false, ErrDown
 	}
-	if _, there := s.entries[entryKey{kind, name}]; there {
+	if _, exists := s.entries[entryKey{kind, name}]; exists {
 		return false, nil
 	}
 	s.revision++
 	s.put(control.Entry{Kind: kind, Name: name, Revision: s.revision})
-	s.wake()
+	s.wakeWatchers()
 	return true, nil
 }
 
 // Reconnect implements control.Store.
 func (s *Store) Reconnect() {}
 
-// Names returns the names of the entries of a kind.
+// Names returns the names of the entries of a kind, in no particular order.
 func (s *Store) Names(kind relaypb.EntryKind) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,7 +291,7 @@
 	return names
 }
 
-// EndLeases ends all leases, as an outage may: their entries go.
+// EndLeases expires all leases and removes their entries, as an outage may.
 func (s *Store) EndLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,7 +303,7 @@
 	}
 	clear(s.leaseOf)
 	clear(s.leases)
-	s.wake()
+	s.wakeWatchers()
 }
 
 // Renew implements control.Store.
@@ -327,7 +332,8 @@
 	return server, err
 }
 
-// KeptUnder returns the number of entries under the lease of a host's entry.
+// KeptUnder returns the number of host entries that share the lease of the named host's
+// entry.
 func (s *Store) KeptUnder(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
