--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,5 +1,5 @@
-// Package suspend tells for how long this machine has been suspended: its steady clock, by
-// which all timers of a process go, stands still meanwhile.
+// Package suspend measures how long this machine has been suspended. The monotonic clock,
+// which drives all timers of a process, stands still during a suspension.
 package suspend
 
 import (
@@ -8,25 +8,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// Total returns for how long the machine has been suspended since it started, as the
-// difference of two clocks of Linux: CLOCK_BOOTTIME counts that time, CLOCK_MONOTONIC does
-// not, and nobody sets either. It is 0 where the system has no such clocks.
+// Total returns how long the machine has been suspended since boot. It is the difference
+// between the Linux clocks CLOCK_BOOTTIME, which counts suspensions, and CLOCK_MONOTONIC,
+// which does not; neither can be set. It returns 0 if the system lacks either clock.
 func Total() time.Duration {
-	steady, ok := read(unix.CLOCK_MONOTONIC)
+	monotonic, ok := readClock(unix.CLOCK_MONOTONIC)
 	if !ok {
 		return 0
 	}
-	all, ok := read(unix.CLOCK_BOOTTIME)
+	boottime, ok := readClock(unix.CLOCK_BOOTTIME)
 	if !ok {
 		return 0
 	}
-	return all - steady
+	return boottime - monotonic
 }
 
-func read(clock int32) (time.Duration, bool) {
+// readClock returns the value of a clock, or false if the system lacks it.
+func readClock(clock int32) (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(clock, &t); err != nil {
-		return 0, false // No such clock: nothing is known of suspensions.
+		return 0, false
 	}
 	return time.Duration(t.Nano()), true
 }
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// The clock that counts suspensions is read last, so that the time between is none that is missing.
+// Guards against reading CLOCK_BOOTTIME first, which could make the difference negative.
 func TestTotalIsNotNegative(t *testing.T) {
 	assert.Assert(t, Total() >= 0)
 }
