--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -1,6 +1,6 @@
-// Package packing makes what goes between hosts shorter. Lists of identifiers and
-// signatures, which are mostly hexadecimal digits, take half of their bytes;
-// configurations and entries of servers a tenth.
+// Package packing compresses messages between hosts. It shortens lists of identifiers and
+// signatures, which consist mostly of hexadecimal digits, to about half their size, and
+// configurations and server entries to about a tenth.
 package packing
 
 import (
@@ -9,38 +9,40 @@
 	"strings"
 )
 
-// separator ends each text of a packed list.
+// separator terminates each string of a packed list.
 const separator = "\n"
 
-// maxUnpacked bounds what is unpacked, in bytes: far above the largest list of a
-// query, and below what would hurt a host.
+// maxUnpacked is the maximum size of a decompressed list in bytes. It far exceeds the largest
+// list of a query.
 const maxUnpacked = 1 << 20
 
-// ErrTooLarge says that what is packed is larger than anything that is sent.
-var ErrTooLarge = errors.New("what is packed is larger than anything that is sent")
+// ErrTooLarge is returned for data that exceeds the size limit when decompressed.
+var ErrTooLarge = errors.New("decompressed data exceeds the size limit")
 
-// Pack returns a shorter form of texts, or nil where there is none.
-func Pack(texts []string) []byte {
-	plain := 0
-	for _, text := range texts {
-		if strings.Contains(text, separator) {
+// Pack compresses a list of strings. It returns nil if the result would not be shorter or if
+// a string contains a newline.
+func Pack(items []string) []byte {
+	size := 0
+	for _, item := range items {
+		if strings.Contains(item, separator) {
 			return nil
 		}
-		plain += len(text)
+		size += len(item)
 	}
-	packed := deflate(huffmanWriters, []byte(strings.Join(texts, separator)+separator))
-	if len(packed) >= plain {
+	packed := deflate(huffmanWriters, []byte(strings.Join(items, separator)+separator))
+	if len(packed) >= size {
 		return nil
 	}
 	return packed
 }
 
-// Unpack returns the texts of a packed list.
+// Unpack decompresses the result of Pack. It returns ErrTooLarge if the list exceeds
+// maxUnpacked.
 func Unpack(packed []byte) ([]string, error) {
 	plain, err := inflate(packed, maxUnpacked)
 	if err != nil {
 		return nil, fmt.Errorf("unpack a list: %w", err)
 	}
-	texts := strings.Split(string(plain), separator)
-	return texts[:len(texts)-1], nil
+	items := strings.Split(string(plain), separator)
+	return items[:len(items)-1], nil
 }
--- a/internal/packing/packing_test.go
+++ b/internal/packing/packing_test.go
@@ -14,34 +14,34 @@
 )
 
 func signatures(n int) []string {
-	var texts []string
+	var items []string
 	for i := range n {
-		texts = append(texts, fmt.Sprintf("%x.%x.a0.0.%016x", i, 0x1c6+i, uint64(i+1)*0x9e3779b97f4a7c15))
+		items = append(items, fmt.Sprintf("%x.%x.a0.0.%016x", i, 0x1c6+i, uint64(i+1)*0x9e3779b97f4a7c15))
 	}
-	return texts
+	return items
 }
 
-func TestPackedListComesBack(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		texts := rapid.SliceOf(rapid.StringMatching(`[ -~]{0,40}`)).Draw(rt, "texts")
-		packed := packing.Pack(texts)
+		items := rapid.SliceOf(rapid.StringMatching(`[ -~]{0,40}`)).Draw(rt, "texts")
+		packed := packing.Pack(items)
 		if packed == nil {
-			return // There is no shorter form.
+			return // The packed form would not be shorter.
 		}
 		got, err := packing.Unpack(packed)
 		assert.NilError(rt, err)
-		assert.DeepEqual(rt, got, texts)
+		assert.DeepEqual(rt, got, items)
 	})
 }
 
-func TestLongListsGetMuchShorter(t *testing.T) {
-	texts := signatures(45)
-	assert.Assert(t, len(packing.Pack(texts)) < 2*len(strings.Join(texts, ""))/3)
+func TestPackShortensLongLists(t *testing.T) {
+	items := signatures(45)
+	assert.Assert(t, len(packing.Pack(items)) < 2*len(strings.Join(items, ""))/3)
 	assert.Assert(t, packing.Pack([]string{"a"}) == nil)
-	assert.Assert(t, packing.Pack([]string{strings.Repeat("a\n", 100)}) == nil, "it could not be taken apart")
+	assert.Assert(t, packing.Pack([]string{strings.Repeat("a\n", 100)}) == nil, "strings with separators cannot be packed")
 }
 
-func TestUnpackRefusesWhatIsBroken(t *testing.T) {
+func TestUnpackRejectsInvalidInput(t *testing.T) {
 	_, err := packing.Unpack([]byte("no list"))
 	assert.ErrorContains(t, err, "unpack a list")
 	var bomb bytes.Buffer
@@ -61,10 +61,10 @@
 }
 
 func BenchmarkPack(b *testing.B) {
-	texts := signatures(45)
+	items := signatures(45)
 	b.ReportAllocs()
 	for b.Loop() {
-		packing.Pack(texts)
+		packing.Pack(items)
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestDeflatedDataComesBack(t *testing.T) {
+func TestDeflateRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		data := rapid.SliceOf(rapid.Byte()).Draw(rt, "data")
 		got, err := packing.Inflate(packing.Deflate(data))
