--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -55,8 +55,8 @@
 	// epoch is when the announcer was created. Times read by several goroutines are stored as
 	// nanoseconds since epoch on the monotonic clock, because the wall clock may jump.
 	epoch time.Time
-	// delegated reports whether a leader keeps this host's entry; undelegatedSince is when
-	// the last leader stopped doing so.
+	// delegated is set while a leader keeps this host's entry; undelegatedSince is when the
+	// last leader stopped doing so.
 	delegated        atomic.Bool
 	undelegatedSince atomic.Int64
 	// failingSince is when store calls started to fail, or 0 if they succeed.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -156,5 +156,5 @@
 	c.leaveOnce.Do(func() { close(c.leave) })
 }
 
-// Wait waits until the goroutines of Start have ended.
+// Wait waits for the tasks of Start, which run until its context is done.
 func (c *Control) Wait() { c.tasks.Wait() }
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -45,8 +45,8 @@
 	DecodeServer(id string, value []byte) (discovery.Server, error)
 }
 
-// Store is the platform's store. Each call returns in bounded time; Watch also ends with its
-// context.
+// Store is the platform's store. Each call returns in bounded time, except that Watch may last
+// as long as its context.
 type Store interface {
 	Decoder
 	// Read returns all entries.
@@ -57,9 +57,10 @@
 	Lease(ctx context.Context, ttl time.Duration) (lease uint64, err error)
 	// Renew renews a lease, or returns ErrLeaseEnded.
 	Renew(ctx context.Context, lease uint64) error
-	// Write atomically writes and removes entries of a kind, at most MaxWrites together, and
-	// returns the new revision. The written entries are bound to lease unless it is 0. Write
-	// is idempotent, so that a call whose reply was lost can be repeated.
+	// Write atomically writes and removes entries of a kind that hosts may write, at most
+	// MaxWrites together, and returns the new revision. The written entries are bound to lease
+	// unless it is 0. Write is idempotent, so that a call whose reply was lost can be
+	// repeated.
 	Write(ctx context.Context, kind relaypb.EntryKind, lease uint64, puts map[string][]byte, remove []string) (revision uint64, err error)
 	// Reconnect closes idle connections, which may be dead.
 	Reconnect()
