--- a/replica/absent.go
+++ b/replica/absent.go
@@ -3,73 +3,72 @@
 import "time"
 
 const (
-	// firstAbsence is for how long a replica at whose address nothing listens is not asked
-	// again; it doubles each time, up to longestAbsence, within which one that is back is to be
-	// found whatever becomes of the news of its start.
-	firstAbsence   = 50 * time.Millisecond
-	longestAbsence = 250 * time.Millisecond
+	// initialAbsentBackoff is the time before a replica that refused a connection is tried
+	// again. It doubles with each further refusal, up to maxAbsentBackoff, which bounds the
+	// time until a restarted replica is found when its registration is not received.
+	initialAbsentBackoff = 50 * time.Millisecond
+	maxAbsentBackoff     = 250 * time.Millisecond
 )
 
-// Absent notes that nothing listens at a replica's address.
+// Absent records that the address of a replica refused a connection.
 func (s *Set) Absent(i int, now time.Time) {
 	leaf := s.Leaves[i]
-	if leaf.absences == 0 {
+	if leaf.refusedConns == 0 {
 		leaf.absentSince = now
 	}
-	leaf.absentUntil = now.Add(min(firstAbsence<<min(leaf.absences, 10), longestAbsence))
-	leaf.absences++
+	leaf.redialAt = now.Add(min(initialAbsentBackoff<<min(leaf.refusedConns, 10), maxAbsentBackoff))
+	leaf.refusedConns++
 }
 
-// present notes that a replica answered.
-func (l *Leaf) present() { l.absences = 0 }
+// markReachable ends the absence of a replica that answered.
+func (l *Leaf) markReachable() { l.refusedConns = 0 }
 
-// askedAgain notes that a replica that was absent is being asked: until it is known what becomes
-// of that, nobody else waits for it.
-func (l *Leaf) askedAgain(now time.Time) {
-	if l.absences > 0 {
-		l.absentUntil = now.Add(longestAbsence)
+// noteRedial records that one request retries an absent replica. Other requests do not try it
+// until that attempt completes or maxAbsentBackoff has passed.
+func (l *Leaf) noteRedial(now time.Time) {
+	if l.refusedConns > 0 {
+		l.redialAt = now.Add(maxAbsentBackoff)
 	}
 }
 
-// IsAbsent reports whether nothing listened at a replica's address when it was last asked.
-func (s *Set) IsAbsent(i int) bool { return s.Leaves[i].absences > 0 }
+// IsAbsent reports whether the last connection to a replica was refused.
+func (s *Set) IsAbsent(i int) bool { return s.Leaves[i].refusedConns > 0 }
 
-// AbsentMask is the set of replicas at whose addresses nothing listened when they were last asked,
-// and that are not to be asked again yet.
+// AbsentMask returns the bit set of absent replicas whose backoff has not expired.
 func (s *Set) AbsentMask(now time.Time) uint64 {
 	var mask uint64
 	for i, leaf := range s.Leaves {
-		if leaf.absences > 0 && now.Before(leaf.absentUntil) {
+		if leaf.refusedConns > 0 && now.Before(leaf.redialAt) {
 			mask |= 1 << i
 		}
 	}
 	return mask
 }
 
-// Presence is what is known of the replicas of a shard.
+// Presence tells whether any replica of a shard accepts connections.
 type Presence int
 
 const (
-	// Present: some replica may be asked as usual.
+	// Present means that at least one replica is not absent.
 	Present Presence = iota
-	// Doubtful: nothing listened at any when it was last asked, and some is to be asked again.
+	// Doubtful means that all replicas are absent and the backoff of at least one has expired.
 	Doubtful
-	// AllAbsent: nothing listens at any, or there is none.
+	// AllAbsent means that all replicas are absent and in backoff, or that there are none.
 	AllAbsent
 )
 
-// Presence returns what is known of the replicas outside exclude, and since when they are absent
-// where none is present.
+// Presence returns the presence of the replicas outside exclude and, unless one is present, the
+// time at which the last of them became absent.
 func (s *Set) Presence(exclude uint64, now time.Time) (Presence, time.Time) {
 	found, since := AllAbsent, time.Time{}
 	for i, leaf := range s.Leaves {
 		if !s.allowed(i, exclude) {
 			continue
 		}
-		if leaf.absences == 0 {
+		if leaf.refusedConns == 0 {
 			return Present, time.Time{}
 		}
-		if !now.Before(leaf.absentUntil) {
+		if !now.Before(leaf.redialAt) {
 			found = Doubtful
 		}
 		if leaf.absentSince.After(since) {
@@ -79,12 +78,13 @@
 	return found, since
 }
 
-// NextLook is after what time the first replica outside exclude that is absent is to be asked again.
+// NextLook returns the time until the first backoff of an absent replica outside exclude expires,
+// at most maxAbsentBackoff.
 func (s *Set) NextLook(exclude uint64, now time.Time) time.Duration {
-	wait := longestAbsence
+	wait := maxAbsentBackoff
 	for i, leaf := range s.Leaves {
-		if s.allowed(i, exclude) && leaf.absences > 0 {
-			wait = min(wait, leaf.absentUntil.Sub(now))
+		if s.allowed(i, exclude) && leaf.refusedConns > 0 {
+			wait = min(wait, leaf.redialAt.Sub(now))
 		}
 	}
 	return max(wait, 0)
--- a/replica/absent_test.go
+++ b/replica/absent_test.go
@@ -9,16 +9,15 @@
 	"github.com/mallowgap/mallowgap/replica"
 )
 
-// A replica at whose address nothing listens is asked again later each time, by one request at a
-// time, and is as any other once it has answered.
-func TestAbsentReplicaIsAskedAgainByOne(t *testing.T) {
+// An absent replica is retried with growing backoff, by one request at a time, until it answers.
+func TestAbsentReplicaIsRetriedWithBackoff(t *testing.T) {
 	s := newSet(2, 2, replica.Observed)
 	ms := time.Millisecond
 	s.Absent(0, start)
 	assert.Equal(t, s.AbsentMask(start.Add(49*ms)), uint64(1))
 	assert.Equal(t, s.AbsentMask(start.Add(50*ms)), uint64(0))
 	found, _ := s.Presence(0, start)
-	assert.Equal(t, found, replica.Present, "the other one")
+	assert.Equal(t, found, replica.Present, "the other replica is present")
 	found, _ = s.Presence(2, start)
 	assert.Equal(t, found, replica.AllAbsent)
 	found, since := s.Presence(2, start.Add(50*ms))
@@ -26,10 +25,10 @@
 	assert.Equal(t, since, start)
 
 	s.Acquire(0, start.Add(50*ms))
-	assert.Equal(t, s.AbsentMask(start.Add(51*ms)), uint64(1), "it is being asked")
+	assert.Equal(t, s.AbsentMask(start.Add(51*ms)), uint64(1), "a retry is in flight")
 	s.Leaves[0].Slots.Release()
 	s.Absent(0, start.Add(51*ms))
-	assert.Equal(t, s.AbsentMask(start.Add(150*ms)), uint64(1), "longer the second time")
+	assert.Equal(t, s.AbsentMask(start.Add(150*ms)), uint64(1), "the second backoff is longer")
 	for range 20 {
 		s.Absent(0, start)
 	}
--- a/replica/doc.go
+++ b/replica/doc.go
@@ -1,8 +1,11 @@
-// Package replica chooses the replica of a shard that a request is sent to,
-// from what the tier observed itself.
+// Package replica selects the replica of a shard that a request is sent to,
+// from the latency, load and failures that this host observed and from the
+// reports of other hosts.
 //
-// Invariants: a leaving replica is never chosen; the last usable replica of a
-// shard is never ejected; at most half of a shard's replicas are ejected; an
-// observation that was cut short only raises an estimate, so a replica that
-// never replies does not look fast.
+// Invariants:
+//   - A leaving replica is never selected.
+//   - The last usable replica of a shard is never ejected.
+//   - At most half of the replicas of a shard are ejected.
+//   - An abandoned request only raises a latency estimate, so that a replica
+//     that never replies does not appear fast.
 package replica
--- a/replica/eject.go
+++ b/replica/eject.go
@@ -3,46 +3,47 @@
 import "time"
 
 const (
-	// ejectAfter is the number of failures in a row that eject a replica.
-	ejectAfter = 3
-	// firstEjection is the length of a first ejection; it doubles each time.
-	firstEjection = 500 * time.Millisecond
-	// longestEjection bounds the length of an ejection.
-	longestEjection = 10 * time.Second
+	// ejectThreshold is the number of consecutive failures that ejects a replica.
+	ejectThreshold = 3
+	// baseEjectionTime is the duration of the first ejection. It doubles with each further
+	// one, up to maxEjectionTime.
+	baseEjectionTime = 500 * time.Millisecond
+	maxEjectionTime  = 10 * time.Second
 )
 
-// Failed notes a failure, which never counts as a fast answer, and reports
-// whether the replica was ejected for it.
+// Failed records a failed request, which is not a latency sample, and reports
+// whether it ejected the replica.
 func (s *Set) Failed(i int, now time.Time) bool {
 	leaf := s.Leaves[i]
-	leaf.progress = now
-	leaf.observed = now
-	leaf.failures++
-	leaf.lost += smoothing * (1 - leaf.lost)
-	if leaf.failures < ejectAfter || !s.mayEject(i, now) {
+	leaf.lastProgress = now
+	leaf.lastObserved = now
+	leaf.consecutiveFailures++
+	leaf.lossRate += ewmaWeight * (1 - leaf.lossRate)
+	if leaf.consecutiveFailures < ejectThreshold || !s.mayEject(i, now) {
 		return false
 	}
-	length := min(firstEjection<<min(leaf.ejections, 10), longestEjection)
+	duration := min(baseEjectionTime<<min(leaf.ejections, 10), maxEjectionTime)
 	leaf.ejections++
-	leaf.ejectedUntil = now.Add(length)
-	leaf.probed = now
+	leaf.ejectedUntil = now.Add(duration)
+	leaf.lastProbe = now
 	return true
 }
 
-// mayEject keeps ejection to half of the replicas at the most.
+// mayEject reports whether ejecting replica i leaves a usable one and keeps at
+// least half of the replicas in service.
 func (s *Set) mayEject(i int, now time.Time) bool {
-	out, usable := 0, 0
+	ejected, usable := 0, 0
 	for j := range s.Leaves {
 		if j == i {
 			continue
 		}
 		if now.Before(s.Leaves[j].ejectedUntil) {
-			out++
+			ejected++
 		} else if !s.Leaves[j].Leaving {
 			usable++
 		}
 	}
-	return usable > 0 && 2*(out+1) <= len(s.Leaves)
+	return usable > 0 && 2*(ejected+1) <= len(s.Leaves)
 }
 
 // Ejected reports whether a replica is ejected at now.
--- a/replica/observe.go
+++ b/replica/observe.go
@@ -3,110 +3,112 @@
 import "time"
 
 const (
-	// smoothing is the weight of a new latency sample.
-	smoothing = 0.2
-	// maxCuts bounds the count of requests cut short in a row.
-	maxCuts = 10
+	// ewmaWeight is the weight of a new sample in the moving averages of latency and loss.
+	ewmaWeight = 0.2
+	// maxAbandoned bounds the count of consecutive abandoned requests.
+	maxAbandoned = 10
 )
 
-// Expected is the latency to expect of a replica; 0 is unknown. A replica with requests
-// running that made no progress is as slow as its silence is long.
+// Expected returns the expected latency of a replica; 0 is unknown. While requests are in
+// flight it is at least the time since the replica last made progress.
 func (s *Set) Expected(i int, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
 	if leaf.Slots.InUse() == 0 {
-		return leaf.believed(now)
+		return leaf.effectiveLatency(now)
 	}
-	return max(leaf.believed(now), now.Sub(leaf.progress))
+	return max(leaf.effectiveLatency(now), now.Sub(leaf.lastProgress))
 }
 
-// estimate is the smoothed latency, times one more for each request cut short
-// since the last answer: what those would have taken is not known.
-func (l *Leaf) estimate() time.Duration {
-	return l.latency * time.Duration(1+l.cuts)
+// localEstimate returns the smoothed latency, multiplied by one plus the number of requests
+// abandoned since the last reply, whose true latency is unknown.
+func (l *Leaf) localEstimate() time.Duration {
+	return l.latency * time.Duration(1+l.abandoned)
 }
 
-// believed is the greater of the estimate and what another host reported.
-func (l *Leaf) believed(now time.Time) time.Duration {
-	if now.Before(l.reportedUntil) {
-		return max(l.estimate(), l.reported)
+// effectiveLatency returns the greater of the local estimate and an unexpired report of another
+// host.
+func (l *Leaf) effectiveLatency(now time.Time) time.Duration {
+	if now.Before(l.reportExpiry) {
+		return max(l.localEstimate(), l.reportedLatency)
 	}
-	return l.estimate()
+	return l.localEstimate()
 }
 
-// Acquire takes a slot of a replica for a request that starts at now.
+// Acquire takes a slot of a replica for a request that starts at now, and reports whether one
+// was free.
 func (s *Set) Acquire(i int, now time.Time) bool {
 	leaf := s.Leaves[i]
 	if leaf.Slots.InUse() == 0 {
-		leaf.progress = now
+		leaf.lastProgress = now
 	}
-	leaf.askedAgain(now)
+	leaf.noteRedial(now)
 	return leaf.Slots.Acquire(now)
 }
 
-// Answered notes an answer after latency.
+// Answered records a reply that took latency.
 func (s *Set) Answered(i int, latency time.Duration, now time.Time) {
 	leaf := s.Leaves[i]
-	leaf.present()
-	leaf.progress = now
-	leaf.answered = now
-	leaf.observed = now
-	leaf.failures = 0
-	leaf.cuts = 0
-	leaf.lost -= smoothing * leaf.lost
+	leaf.markReachable()
+	leaf.lastProgress = now
+	leaf.lastAnswer = now
+	leaf.lastObserved = now
+	leaf.consecutiveFailures = 0
+	leaf.abandoned = 0
+	leaf.lossRate -= ewmaWeight * leaf.lossRate
 	if !now.Before(leaf.ejectedUntil) {
 		leaf.ejections = 0
 	}
-	s.sample(leaf, latency)
+	s.addLatencySample(leaf, latency)
 }
 
-// Refused notes that a replica refused a request because it was full.
+// Refused records that a replica shed a request because it was full.
 func (s *Set) Refused(i int, now time.Time) {
 	leaf := s.Leaves[i]
-	leaf.present()
-	leaf.lost += smoothing * (1 - leaf.lost)
+	leaf.markReachable()
+	leaf.lossRate += ewmaWeight * (1 - leaf.lossRate)
 	leaf.Slots.Shed(now)
 }
 
-// CutShort notes a request that was given up after elapsed without a reply. The
-// reply might have taken any longer time, so a few of these in a row, as from a
-// silent replica whose requests are always answered elsewhere, make it slow.
+// CutShort records a request that was abandoned after elapsed without a reply, for
+// example because a hedge was faster. elapsed is a lower bound of the latency: it never
+// lowers the estimate, and consecutive abandoned requests raise it.
 func (s *Set) CutShort(i int, elapsed time.Duration, now time.Time) {
 	leaf := s.Leaves[i]
-	leaf.observed = now
-	leaf.cuts = min(leaf.cuts+1, maxCuts)
+	leaf.lastObserved = now
+	leaf.abandoned = min(leaf.abandoned+1, maxAbandoned)
 	if elapsed > leaf.latency {
-		s.sample(leaf, elapsed)
+		s.addLatencySample(leaf, elapsed)
 	}
 }
 
-func (s *Set) sample(leaf *Leaf, latency time.Duration) {
+func (s *Set) addLatencySample(leaf *Leaf, latency time.Duration) {
 	if leaf.latency == 0 {
 		leaf.latency = latency
 		return
 	}
-	leaf.latency += time.Duration(smoothing * float64(latency-leaf.latency))
+	leaf.latency += time.Duration(ewmaWeight * float64(latency-leaf.latency))
 }
 
-// Restarted forgets what was known of a replica that started anew.
+// Restarted resets the latency, failures and ejection of a replica whose process was restarted.
 func (s *Set) Restarted(i int, now time.Time) {
 	leaf := s.Leaves[i]
 	leaf.latency = 0
-	leaf.lost = 0
-	leaf.present()
-	leaf.failures = 0
-	leaf.cuts = 0
+	leaf.lossRate = 0
+	leaf.markReachable()
+	leaf.consecutiveFailures = 0
+	leaf.abandoned = 0
 	leaf.ejections = 0
 	leaf.ejectedUntil = time.Time{}
 	leaf.Slots.Restarted(now)
 }
 
-// Capacity returns how many requests the replicas can run at a time, counted
-// in slots of the fastest one: a replica that is slower by a factor counts by
-// that factor less, an ejected or leaving one not at all.
+// Capacity returns the number of requests that the replicas can run concurrently,
+// in slots of the fastest replica. Slots of outliers are divided by their relative
+// latency; ejected and leaving replicas do not count.
 func (s *Set) Capacity(now time.Time) float64 {
 	fastest := time.Duration(0)
 	for _, leaf := range s.Leaves {
-		if leaf.latency > slowFloor && (fastest == 0 || leaf.latency < fastest) {
+		if leaf.latency > minOutlierLatency && (fastest == 0 || leaf.latency < fastest) {
 			fastest = leaf.latency
 		}
 	}
@@ -116,7 +118,7 @@
 			continue
 		}
 		speed := 1.0
-		if s.policy == Observed && fastest > 0 && leaf.latency > avoidFactor*fastest {
+		if s.policy == Observed && fastest > 0 && leaf.latency > outlierFactor*fastest {
 			speed = float64(fastest) / float64(leaf.latency)
 		}
 		capacity += float64(leaf.Slots.Share()) * speed
@@ -124,5 +126,5 @@
 	return capacity
 }
 
-// Latency returns the estimate of a replica's latency; 0 is unknown.
+// Latency returns the smoothed latency of a replica; 0 is unknown.
 func (s *Set) Latency(i int) time.Duration { return s.Leaves[i].latency }
--- a/replica/report.go
+++ b/replica/report.go
@@ -6,63 +6,63 @@
 )
 
 const (
-	// reportLife is for how long a report of another host counts: a few times
-	// the usual pause between two queries of one host of a large fleet.
-	reportLife = 5 * time.Second
-	// ownLife is for how long an observation of one's own goes before what
-	// another host reports.
-	ownLife = time.Second
-	// silentCuts is the number of requests cut short in a row, without an
-	// answer for silentTime, from which a replica counts as silent.
-	silentCuts = 3
-	silentTime = time.Second
+	// reportTTL is how long a report of another host is valid. It spans several
+	// queries of a host in a large fleet.
+	reportTTL = 5 * time.Second
+	// localObservationTTL is how long an observation of this host takes precedence
+	// over the reports of other hosts.
+	localObservationTTL = time.Second
+	// silentAbandoned is the number of consecutive abandoned requests, without a
+	// reply for silentAfter, from which a replica is considered silent.
+	silentAbandoned = 3
+	silentAfter     = time.Second
 )
 
-// Observation is what one host observed of a replica in calls of its own.
+// Observation is the state of a replica as observed by the calls of one host.
 type Observation struct {
-	// Latency is the latency to expect; 0 is unknown.
+	// Latency is the expected latency; 0 is unknown.
 	Latency time.Duration
-	// Cuts is the number of requests cut short since the last answer.
+	// Cuts is the number of requests abandoned since the last reply.
 	Cuts int
-	// Answered is when the replica last answered; zero is never.
+	// Answered is the time of the last reply; zero if there was none.
 	Answered time.Time
-	// Ejected tells that it failed so often that it is avoided.
+	// Ejected is whether the replica is ejected.
 	Ejected bool
 }
 
-// Observation returns what was observed of a replica here.
+// Observation returns what this host observed of the leaf.
 func (l *Leaf) Observation(now time.Time) Observation {
-	return Observation{Latency: l.estimate(), Cuts: l.cuts, Answered: l.answered, Ejected: now.Before(l.ejectedUntil)}
+	return Observation{Latency: l.localEstimate(), Cuts: l.abandoned, Answered: l.lastAnswer, Ejected: now.Before(l.ejectedUntil)}
 }
 
-// SlowReplica is a replica that others should avoid.
+// SlowReplica is a replica that other hosts should avoid.
 type SlowReplica struct {
-	// Index is that of its observation.
+	// Index is the index of its observation.
 	Index int
-	// Latency is what to expect of it; of one that fails or is silent, so much
-	// that another is chosen.
+	// Latency is its expected latency; at least silentAfter for an ejected or silent
+	// replica, so that another one is chosen.
 	Latency time.Duration
 }
 
-// Slow returns those of the observations, all of replicas that do the same kind
-// of work, that are much slower than the middle one, silent or ejected.
+// Slow returns the replicas that are much slower than the median, silent or ejected.
+// The observations must be of replicas that do the same kind of work.
 func Slow(observations []Observation, now time.Time) []SlowReplica {
-	typical := middle(observations)
-	limit := max(avoidFactor*typical, slowFloor)
+	median := medianLatency(observations)
+	limit := max(outlierFactor*median, minOutlierLatency)
 	var slow []SlowReplica
 	for i, o := range observations {
-		silent := o.Cuts >= silentCuts && now.Sub(o.Answered) > silentTime
+		silent := o.Cuts >= silentAbandoned && now.Sub(o.Answered) > silentAfter
 		if silent || o.Ejected {
-			slow = append(slow, SlowReplica{Index: i, Latency: max(o.Latency, silentTime)})
-		} else if typical > 0 && o.Latency > limit {
+			slow = append(slow, SlowReplica{Index: i, Latency: max(o.Latency, silentAfter)})
+		} else if median > 0 && o.Latency > limit {
 			slow = append(slow, SlowReplica{Index: i, Latency: o.Latency})
 		}
 	}
 	return slow
 }
 
-// middle returns the median of the latencies that are known.
-func middle(observations []Observation) time.Duration {
+// medianLatency returns the median of the known latencies; 0 if there are none.
+func medianLatency(observations []Observation) time.Duration {
 	var known []time.Duration
 	for _, o := range observations {
 		if o.Latency > 0 {
@@ -76,31 +76,32 @@
 	return known[len(known)/2]
 }
 
-// Reported takes in what another host, which calls the i-th replica more often,
-// reports: the latency to expect, or 0 where it is as fast as its kind. Such a
-// report ends what was observed here long ago. It returns whether the replica
-// is slow and was not known to be.
+// Reported applies the report of another host, which calls the i-th replica more
+// often: its latency, or 0 if it is not slow. A report of 0 resets the estimate and the
+// ejection unless this host observed the replica within localObservationTTL. Reported
+// returns whether the replica is slow and was not reported so before.
 func (s *Set) Reported(i int, latency time.Duration, now time.Time) bool {
 	leaf := s.Leaves[i]
-	news := latency > 0 && (leaf.reported == 0 || !now.Before(leaf.reportedUntil))
-	leaf.reported = latency
-	leaf.reportedUntil = now.Add(reportLife)
-	if latency == 0 && s.avoided(i, now) && now.Sub(leaf.observed) > ownLife {
-		leaf.latency = s.fastest(i)
-		leaf.cuts = 0
-		leaf.failures = 0
+	newlySlow := latency > 0 && (leaf.reportedLatency == 0 || !now.Before(leaf.reportExpiry))
+	leaf.reportedLatency = latency
+	leaf.reportExpiry = now.Add(reportTTL)
+	if latency == 0 && s.avoided(i, now) && now.Sub(leaf.lastObserved) > localObservationTTL {
+		leaf.latency = s.lowestLatency(i)
+		leaf.abandoned = 0
+		leaf.consecutiveFailures = 0
 		leaf.ejectedUntil = time.Time{}
 	}
-	return news
+	return newlySlow
 }
 
-// fastest is the least known latency of the replicas other than the i-th.
-func (s *Set) fastest(i int) time.Duration {
-	least := time.Duration(0)
+// lowestLatency returns the lowest known latency of the replicas other than the i-th; 0 if
+// none is known.
+func (s *Set) lowestLatency(i int) time.Duration {
+	lowest := time.Duration(0)
 	for j, leaf := range s.Leaves {
-		if j != i && leaf.latency > 0 && (least == 0 || leaf.latency < least) {
-			least = leaf.latency
+		if j != i && leaf.latency > 0 && (lowest == 0 || leaf.latency < lowest) {
+			lowest = leaf.latency
 		}
 	}
-	return least
+	return lowest
 }
--- a/replica/set.go
+++ b/replica/set.go
@@ -8,80 +8,83 @@
 )
 
 const (
-	// avoidFactor is how many times slower than the best a replica must be to
-	// be called slow.
-	avoidFactor = 3
-	// ProbeEvery is the usual interval at which an avoided replica gets one
-	// repeatable request.
+	// outlierFactor is the multiple of another replica's latency from which a replica
+	// is an outlier.
+	outlierFactor = 3
+	// ProbeEvery is the default interval at which an avoided replica gets one
+	// idempotent request.
 	ProbeEvery = time.Second
-	// lossCalls is what a refusal or a failure costs, in calls to the fastest replica:
-	// the time until it is known, another attempt, and what that takes from the budget
-	// for extra ones. All of these grow with the time of a call.
+	// lossCalls is the cost of a refused or failed request, in latencies of the fastest
+	// replica: its detection, the retry, and the retry budget that it uses.
 	lossCalls = 6
-	// slowFloor is the latency below which no replica counts as slow.
-	slowFloor = time.Millisecond
+	// minOutlierLatency is the latency up to which a replica is never an outlier.
+	minOutlierLatency = time.Millisecond
 )
 
-// Policy selects the way in which a replica is chosen.
+// Policy selects the algorithm that chooses a replica.
 type Policy int
 
 const (
-	// Observed chooses by observed latency, load and failures.
+	// Observed chooses the replica with the lowest expected cost, from observed latency, load
+	// and failures.
 	Observed Policy = iota
-	// Random chooses any free replica; it is the baseline.
+	// Random chooses any free replica, as a baseline for comparison.
 	Random
 )
 
-// None is returned where no replica can be used.
+// None is the index returned when no replica can be used.
 const None = -1
 
-// Leaf is one replica of a shard as this home sees it.
+// Leaf is one replica of a shard as seen by this host.
 type Leaf struct {
 	Address string
 	Domain  string
 	// Leaving forbids new requests.
 	Leaving bool
 	Slots   limit.Slots
-	// Sharers is the number of hosts that send requests to the leaf; 0 is 1.
+	// Sharers is the number of hosts that send requests to the leaf; 0 means 1.
 	Sharers int
-	// Distance is added to the latency when replicas are compared: what a call
-	// over the way to the leaf costs beside its time.
+	// Distance is added to the latency when replicas are compared. It stands for the
+	// cost of the network path beyond its latency.
 	Distance time.Duration
-	// Parallel is the number of requests that the leaf runs at a time; 0 is 1.
+	// Parallel is the number of requests that the leaf runs concurrently; 0 means 1.
 	Parallel int
 
-	latency  time.Duration
-	progress time.Time
-	failures int
-	// lost is the smoothed share (0 to 1) of requests that the leaf refused or failed.
-	lost float64
-	// cuts is the number of requests cut short since the last answer.
-	cuts         int
+	// latency is the smoothed latency; 0 is unknown.
+	latency time.Duration
+	// lastProgress is the time of the last reply or failure, or that at which the leaf last
+	// got a request while it ran none of this host.
+	lastProgress        time.Time
+	consecutiveFailures int
+	// lossRate is the smoothed fraction of requests that the leaf refused or failed.
+	lossRate float64
+	// abandoned is the number of requests abandoned since the last reply.
+	abandoned    int
 	ejections    int
 	ejectedUntil time.Time
-	probed       time.Time
-	// answered is when the leaf last answered, observed when anything was last
-	// observed of it.
-	answered, observed time.Time
-	// absences is the number of connections in a row that the leaf's address refused, since
-	// absentSince; it is not asked again before absentUntil.
-	absences                 int
-	absentSince, absentUntil time.Time
-	// queue is the number of requests that waited at the leaf when it last told, at
-	// queueAt; queueGap is the smoothed gap between two reports.
-	queue    int
-	queueAt  time.Time
-	queueGap time.Duration
-	// work is the smoothed time that the leaf takes for a request, without its wait and on
-	// a machine that is as fast as usual.
-	work time.Duration
-	// slowness is how many times longer than usual work took on the leaf's machine when it
-	// last told, at slowAt.
-	slowness float64
-	slowAt   time.Time
-	// reported is what another host says of the latency, until reportedUntil.
-	reported      time.Duration
-	reportedUntil time.Time
+	lastProbe    time.Time
+	// lastAnswer is the time of the last reply, lastObserved that of the last reply, failure
+	// or abandoned request.
+	lastAnswer, lastObserved time.Time
+	// refusedConns is the number of consecutive refused connections, the first of them at
+	// absentSince. The leaf is not tried again before redialAt.
+	refusedConns          int
+	absentSince, redialAt time.Time
+	// queueLen is the number of requests that waited at the leaf when it last reported its
+	// queue, at queueReportedAt. reportInterval is the smoothed interval between reports.
+	queueLen        int
+	queueReportedAt time.Time
+	reportInterval  time.Duration
+	// serviceTime is the smoothed run time of a request at the leaf, without queueing and
+	// divided by the slowdown of the machine.
+	serviceTime time.Duration
+	// slowdown is the factor by which the leaf's machine was slower than usual, as the leaf
+	// last reported at slowdownReportedAt.
+	slowdown           float64
+	slowdownReportedAt time.Time
+	// reportedLatency is the latency that another host reported; it is valid until reportExpiry.
+	reportedLatency time.Duration
+	reportExpiry    time.Time
 }
 
 // Set holds the replicas of one shard. It is not safe for concurrent use.
@@ -91,14 +94,14 @@
 	rng    *rand.Rand
 }
 
-// NewSet returns a set of replicas. rng decides between equals.
+// NewSet returns a set of replicas. rng breaks ties.
 func NewSet(leaves []*Leaf, policy Policy, rng *rand.Rand) *Set {
 	return &Set{Leaves: leaves, policy: policy, rng: rng}
 }
 
 // Pick returns the index of the replica that a request should be sent to at
 // now, or None if it should wait or cannot be sent. waiting is the number of
-// requests that wait for this shard. Replicas in the bit set exclude are not
+// requests queued for this shard. Replicas in the bit set exclude are not
 // chosen. Pick does not allocate.
 func (s *Set) Pick(now time.Time, waiting int, exclude uint64) int {
 	if s.policy == Random {
@@ -120,14 +123,12 @@
 	return best
 }
 
-// worthWaiting reports whether another replica, busy now, is expected to
-// answer sooner than the free replica would. One that is free is not waited for: it was not
-// chosen for what it costs. Else a replica in the own region that was once observed to be slow
-// and a fast one far off would make a shard seem busy until something was heard of the slow
-// one, which nobody asks.
+// worthWaiting reports whether a busy replica is expected to answer sooner, after its queue,
+// than the replica with index free. Other free replicas are not considered: they were not chosen
+// because of their cost, and a request that waited for one would leave both replicas idle.
 func (s *Set) worthWaiting(free int, now time.Time, waiting int, exclude uint64) bool {
 	latency := s.Expected(free, now)
-	if latency <= slowFloor {
+	if latency <= minOutlierLatency {
 		return false
 	}
 	for i := range s.Leaves {
@@ -136,15 +137,16 @@
 			continue
 		}
 		limit := max(leaf.Slots.Limit(now), 1)
-		own := s.Expected(i, now)
-		turn := own + own*time.Duration(waiting+1)/time.Duration(limit)
-		if latency > avoidFactor*own && latency > turn {
+		expected := s.Expected(i, now)
+		afterQueue := expected + expected*time.Duration(waiting+1)/time.Duration(limit)
+		if latency > outlierFactor*expected && latency > afterQueue {
 			return true
 		}
 	}
 	return false
 }
 
+// pickRandom returns a random free replica that is allowed; None if there is none.
 func (s *Set) pickRandom(now time.Time, exclude uint64) int {
 	free := 0
 	for i := range s.Leaves {
@@ -168,8 +170,8 @@
 	return None
 }
 
-// Reachable reports whether some replica outside exclude may still get a
-// request, now or once a slot is free.
+// Reachable reports whether any replica outside exclude may get a request, now
+// or when a slot becomes free.
 func (s *Set) Reachable(exclude uint64) bool {
 	for i := range s.Leaves {
 		if s.allowed(i, exclude) {
@@ -179,27 +181,27 @@
 	return false
 }
 
-// Probe returns an avoided replica that is due for one request, as its last
-// was longer ago than every.
+// Probe returns the index of an avoided replica that was not probed for the
+// duration every, and records a probe of it; None if there is none.
 func (s *Set) Probe(now time.Time, exclude uint64, every time.Duration) int {
 	if s.policy == Random {
 		return None
 	}
 	for i := range s.Leaves {
 		leaf := s.Leaves[i]
-		if !s.allowed(i, exclude) || !leaf.Slots.Free(now) || now.Sub(leaf.probed) < every {
+		if !s.allowed(i, exclude) || !leaf.Slots.Free(now) || now.Sub(leaf.lastProbe) < every {
 			continue
 		}
 		if s.avoided(i, now) {
-			leaf.probed = now
+			leaf.lastProbe = now
 			return i
 		}
 	}
 	return None
 }
 
-// AvoidedMask is the set of replicas that are ejected, or much slower than
-// another, so that a second attempt there would not come sooner.
+// AvoidedMask returns the bit set of replicas that are ejected or much slower than
+// another one, so that a retry or a hedge there would not be faster.
 func (s *Set) AvoidedMask(now time.Time) uint64 {
 	var mask uint64
 	for i := range s.Leaves {
@@ -210,29 +212,32 @@
 	return mask
 }
 
+// avoided reports whether replica i is ejected or an outlier compared with any other.
 func (s *Set) avoided(i int, now time.Time) bool {
 	leaf := s.Leaves[i]
 	if now.Before(leaf.ejectedUntil) {
 		return true
 	}
-	own := leaf.believed(now)
-	if own <= slowFloor {
+	latency := leaf.effectiveLatency(now)
+	if latency <= minOutlierLatency {
 		return false
 	}
 	for j := range s.Leaves {
 		other := s.Leaves[j].latency
-		if j != i && other > 0 && own > avoidFactor*other {
+		if j != i && other > 0 && latency > outlierFactor*other {
 			return true
 		}
 	}
 	return false
 }
 
+// allowed reports whether replica i is neither excluded nor leaving.
 func (s *Set) allowed(i int, exclude uint64) bool {
 	return exclude&(1<<i) == 0 && !s.Leaves[i].Leaving
 }
 
-// usable leaves ejected replicas out, unless no other is left.
+// usable reports whether replica i may be chosen. An ejected one may be only if all
+// allowed replicas are ejected.
 func (s *Set) usable(i int, now time.Time, exclude uint64) bool {
 	if !s.allowed(i, exclude) {
 		return false
@@ -248,11 +253,11 @@
 	return true
 }
 
-// cost is what a request to a leaf is expected to cost, in time.
+// cost returns the expected cost of a request to a leaf, as a duration.
 func (s *Set) cost(i int, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
 	parallel := max(leaf.Parallel, 1)
-	again := time.Duration(leaf.lost * lossCalls * float64(s.fastest(None)))
+	lossCost := time.Duration(leaf.lossRate * lossCalls * float64(s.lowestLatency(None)))
 	run := s.runTime(i, now) * time.Duration(leaf.Slots.InUse()+parallel) / time.Duration(parallel)
-	return run + leaf.Distance + again + s.othersWait(i, now)
+	return run + leaf.Distance + lossCost + s.remoteQueueWait(i, now)
 }
--- a/replica/set_test.go
+++ b/replica/set_test.go
@@ -23,7 +23,7 @@
 	return replica.NewSet(leaves, policy, rand.New(rand.NewPCG(1, 1)))
 }
 
-// answer runs one request on leaf i.
+// answer records one completed request on leaf i.
 func answer(s *replica.Set, i int, latency time.Duration, now time.Time) {
 	s.Acquire(i, now)
 	s.Leaves[i].Slots.Release()
@@ -56,7 +56,7 @@
 	assert.Assert(t, s.Latency(0) > s.Latency(1))
 	before := s.Latency(0)
 	s.CutShort(0, time.Microsecond, start)
-	assert.Equal(t, s.Latency(0), before, "a short cut says nothing")
+	assert.Equal(t, s.Latency(0), before, "an early cancellation is no latency sample")
 }
 
 func TestFailingFastReplicaIsEjectedAndProbed(t *testing.T) {
@@ -68,10 +68,10 @@
 	assert.Assert(t, s.Ejected(0, start))
 	assert.Equal(t, s.Pick(start, 0, 0), 1)
 	assert.Equal(t, s.Probe(start, 1<<1, replica.ProbeEvery), replica.None, "probed too soon")
-	assert.Equal(t, s.Probe(start.Add(time.Second), 1<<1, replica.ProbeEvery), replica.None, "the ejection is over: it is used again")
+	assert.Equal(t, s.Probe(start.Add(time.Second), 1<<1, replica.ProbeEvery), replica.None, "after the ejection it is chosen again without a probe")
 }
 
-// Ejection leaves a usable replica, however all of them fail.
+// Whichever replicas fail, at most half are ejected and one can be picked.
 func TestEjectionIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(rt, "n")
@@ -80,14 +80,14 @@
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			s.Failed(rapid.IntRange(0, n-1).Draw(rt, "i"), now)
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(rt, "ms")) * time.Millisecond)
-			out := 0
+			ejected := 0
 			for i := range n {
 				if s.Ejected(i, now) {
-					out++
+					ejected++
 				}
 			}
-			if 2*out > n || s.Pick(now, 0, 0) == replica.None {
-				rt.Fatalf("%d of %d ejected, pick %d", out, n, s.Pick(now, 0, 0))
+			if 2*ejected > n || s.Pick(now, 0, 0) == replica.None {
+				rt.Fatalf("%d of %d ejected, pick %d", ejected, n, s.Pick(now, 0, 0))
 			}
 		}
 	})
@@ -106,10 +106,8 @@
 	}
 }
 
-// A replica that refuses much of what it gets costs extra attempts; a distant
-// one that does not is better.
-// pickedOf100 returns how many of 100 requests go to a near replica that loses every
-// second one, beside a far one that is sound.
+// pickedOf100 returns how many of 100 requests go to a nearby replica that loses every second
+// one, when the alternative is a distant replica that loses none.
 func pickedOf100(s *replica.Set, lose func(now time.Time)) int {
 	s.Leaves[1].Distance = 40 * time.Millisecond
 	now := start
@@ -131,14 +129,15 @@
 	return picked
 }
 
+// A replica that refuses many requests is chosen less, as each refusal costs a retry.
 func TestRefusingReplicaIsChosenLess(t *testing.T) {
 	s := newSet(2, 2, replica.Observed)
 	picked := pickedOf100(s, func(now time.Time) { s.Refused(0, now) })
 	assert.Assert(t, picked < 20, "%d of 100 requests went to the replica that refuses half", picked)
 }
 
-// Servers that lose one answer in two, a reset at a time, are never ejected; the
-// requests go to the other one all the same.
+// A replica that fails every second request never reaches the ejection threshold, but must
+// still be chosen less.
 func TestReplicaThatLosesAnswersIsChosenLess(t *testing.T) {
 	s := newSet(2, 2, replica.Observed)
 	picked := pickedOf100(s, func(now time.Time) { s.Failed(0, now) })
@@ -180,15 +179,15 @@
 	}
 }
 
-// What a lost request costs is counted in calls: where calls are short a far server
-// is not worth a few lost requests of a near one, where they are long it is.
+// The cost of lost requests scales with the latency: a distant replica is preferred to a nearby
+// one that lost a few requests only if calls are long compared with the distance.
 func TestCostOfLostRequestsGrowsWithTheCalls(t *testing.T) {
 	for _, c := range []struct {
-		call, way time.Duration
-		want      int
+		call, distance time.Duration
+		want           int
 	}{{8 * time.Millisecond, 30 * time.Millisecond, 0}, {25 * time.Millisecond, 30 * time.Millisecond, 1}} {
 		s := newSet(2, 2, replica.Observed)
-		s.Leaves[1].Distance = c.way
+		s.Leaves[1].Distance = c.distance
 		answer(s, 0, c.call, start)
 		answer(s, 1, c.call, start)
 		s.Refused(0, start)
--- a/replica/wait.go
+++ b/replica/wait.go
@@ -6,178 +6,177 @@
 )
 
 const (
-	// queueHalfLife is the time after which half of a queue that a leaf told of is
-	// taken to be gone. Where a host calls the leaf more rarely it is as many times
-	// the usual gap between two reports as halfLifeGaps says, so that the queue is not
-	// forgotten between them.
-	queueHalfLife = 150 * time.Millisecond
-	halfLifeGaps  = 2
-	// gapSmoothing is the weight of a new sample of that gap, longestGap the longest
-	// that counts.
-	gapSmoothing = 0.2
-	longestGap   = 2 * time.Second
-	// slowPart is the part of the objective from which the run time of a leaf is long.
-	slowPart = 0.25
-	// idleAhead is the number of requests before one up to which a leaf counts as idle:
-	// a queue that was told fades and is never quite gone.
-	idleAhead = 0.5
-	// workSmoothing is the weight of a new sample of the work of a request.
-	workSmoothing = 0.1
-	// slownessHalfLife is the time after which half of what a leaf told of the slowness of
-	// its machine is taken to be gone: neighbours there come and go several times a second.
-	slownessHalfLife = 200 * time.Millisecond
+	// queueHalfLife is the half-life of a reported queue length. If reports are rarer, the
+	// half-life is halfLifeIntervals times their interval, so that the queue does not decay
+	// to nothing between two reports.
+	queueHalfLife     = 150 * time.Millisecond
+	halfLifeIntervals = 2
+	// intervalWeight is the weight of a new sample of the report interval; samples are
+	// bounded by maxReportInterval.
+	intervalWeight    = 0.2
+	maxReportInterval = 2 * time.Second
+	// slowRunFraction is the fraction of the objective above which the run time of a leaf
+	// is long.
+	slowRunFraction = 0.25
+	// maxIdleQueue is the estimated queue length up to which a leaf is considered idle; the
+	// estimate decays and does not reach 0.
+	maxIdleQueue = 0.5
+	// serviceTimeWeight is the weight of a new sample of the service time.
+	serviceTimeWeight = 0.1
+	// slowdownHalfLife is the half-life of a reported slowdown. It is short because other
+	// processes on the machine start and stop several times a second.
+	slowdownHalfLife = 200 * time.Millisecond
 )
 
-// Slowed takes in that a leaf told how many times longer than usual work takes on its
-// machine. The work of its requests is noted without that, so that a neighbour that left
-// makes the leaf slow for no longer than it was there.
+// Slowed records the factor by which a leaf reports its machine to be slower than usual. The
+// service time is kept without this factor, so that it does not stay high after a noisy neighbour
+// is gone.
 func (s *Set) Slowed(i int, factor float64, now time.Time) {
-	s.Leaves[i].slowness, s.Leaves[i].slowAt = factor, now
+	s.Leaves[i].slowdown, s.Leaves[i].slowdownReportedAt = factor, now
 }
 
-// slowFactor is how many times longer than usual work is expected to take.
-func (l *Leaf) slowFactor(now time.Time) float64 {
-	if l.slowness <= 0 {
+// expectedSlowdown returns the reported slowdown, decayed towards 1.
+func (l *Leaf) expectedSlowdown(now time.Time) float64 {
+	if l.slowdown <= 0 {
 		return 1
 	}
-	return 1 + (l.slowness-1)*math.Exp2(-float64(now.Sub(l.slowAt))/float64(slownessHalfLife))
+	return 1 + (l.slowdown-1)*math.Exp2(-float64(now.Sub(l.slowdownReportedAt))/float64(slowdownHalfLife))
 }
 
-// Queued takes in that a leaf told of a queue of waiting requests with an answer
-// that took elapsed there, and returns how long the request ran. 0 for elapsed
-// says nothing about its work.
+// Queued records the queue length that a leaf reported with a reply that took elapsed there,
+// and returns the estimated run time of that request without queueing. With an elapsed of 0
+// only the queue length is recorded.
 func (s *Set) Queued(i, waiting int, elapsed time.Duration, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
-	if !leaf.queueAt.IsZero() {
-		leaf.queueGap += time.Duration(gapSmoothing * float64(min(now.Sub(leaf.queueAt), longestGap)-leaf.queueGap))
+	if !leaf.queueReportedAt.IsZero() {
+		leaf.reportInterval += time.Duration(intervalWeight * float64(min(now.Sub(leaf.queueReportedAt), maxReportInterval)-leaf.reportInterval))
 	}
-	leaf.queue = waiting
-	leaf.queueAt = now
+	leaf.queueLen = waiting
+	leaf.queueReportedAt = now
 	if elapsed <= 0 {
 		return 0
 	}
 	parallel := max(leaf.Parallel, 1)
 	sample := elapsed * time.Duration(parallel) / time.Duration(parallel+waiting)
-	usual := time.Duration(float64(sample) / leaf.slowFactor(now))
-	if leaf.work == 0 {
-		leaf.work = usual
+	nominal := time.Duration(float64(sample) / leaf.expectedSlowdown(now))
+	if leaf.serviceTime == 0 {
+		leaf.serviceTime = nominal
 	}
-	leaf.work += time.Duration(workSmoothing * float64(usual-leaf.work))
+	leaf.serviceTime += time.Duration(serviceTimeWeight * float64(nominal-leaf.serviceTime))
 	return sample
 }
 
-// Wait estimates how long a request would wait at a leaf before it runs: for the
-// queue that the leaf last told of, or for the requests of this host where these
-// are more. Where this host has no slot left the others are taken to have none.
+// Wait estimates how long a request would wait at a leaf before it runs, from the reported
+// queue or the requests of this host in flight there, whichever is longer. If this host has no
+// free slot, all hosts that share the leaf are assumed to use as many slots.
 func (s *Set) Wait(i int, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
-	ahead := max(leaf.told(now), leaf.own())
+	ahead := max(leaf.reportedQueue(now), leaf.localQueue())
 	if !leaf.Slots.Free(now) {
 		ahead = max(ahead, float64(leaf.Slots.InUse()*max(leaf.Sharers, 1)-max(leaf.Parallel, 1)))
 	}
-	return leaf.inTurn(ahead)
+	return leaf.queueWait(ahead)
 }
 
-// othersWait is the part of the wait that the requests of other hosts make.
-func (s *Set) othersWait(i int, now time.Time) time.Duration {
+// remoteQueueWait returns the part of the wait at a leaf that requests of other hosts cause.
+func (s *Set) remoteQueueWait(i int, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
-	return leaf.inTurn(max(leaf.told(now)-leaf.own(), 0))
+	return leaf.queueWait(max(leaf.reportedQueue(now)-leaf.localQueue(), 0))
 }
 
-// runTime is how long a request is expected to run at a leaf, without its wait
-// where the leaf tells its load. A leaf that makes no progress is as slow as its
-// silence is long.
+// runTime returns the expected run time of a request at a leaf, without queueing if the leaf
+// reports its load. While requests are in flight it is at least the time since the leaf last
+// made progress.
 func (s *Set) runTime(i int, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
-	if leaf.work == 0 {
+	if leaf.serviceTime == 0 {
 		return s.Expected(i, now)
 	}
-	run := time.Duration(float64(leaf.work) * leaf.slowFactor(now) * float64(1+leaf.cuts))
-	if now.Before(leaf.reportedUntil) {
-		run = max(run, leaf.reported)
+	run := time.Duration(float64(leaf.serviceTime) * leaf.expectedSlowdown(now) * float64(1+leaf.abandoned))
+	if now.Before(leaf.reportExpiry) {
+		run = max(run, leaf.reportedLatency)
 	}
 	if leaf.Slots.InUse() > 0 {
-		run = max(run, now.Sub(leaf.progress))
+		run = max(run, now.Sub(leaf.lastProgress))
 	}
 	return run
 }
 
-// told is the queue that the leaf last told of, as far as it is taken to be there
-// still.
-func (l *Leaf) told(now time.Time) float64 {
-	if l.queue == 0 {
+// reportedQueue returns the queue length that the leaf last reported, decayed by its age.
+func (l *Leaf) reportedQueue(now time.Time) float64 {
+	if l.queueLen == 0 {
 		return 0
 	}
-	halfLife := max(queueHalfLife, halfLifeGaps*l.queueGap)
-	return float64(l.queue) * math.Exp2(-float64(now.Sub(l.queueAt))/float64(halfLife))
+	halfLife := max(queueHalfLife, halfLifeIntervals*l.reportInterval)
+	return float64(l.queueLen) * math.Exp2(-float64(now.Sub(l.queueReportedAt))/float64(halfLife))
 }
 
-// own is the number of this host's requests that the leaf cannot run at once.
-func (l *Leaf) own() float64 {
+// localQueue returns the number of this host's requests in flight that exceed the
+// parallelism of the leaf.
+func (l *Leaf) localQueue() float64 {
 	return float64(max(l.Slots.InUse()-max(l.Parallel, 1), 0))
 }
 
-// inTurn is the time after which a request runs that has others before it.
-func (l *Leaf) inTurn(ahead float64) time.Duration {
-	return time.Duration(ahead * float64(l.work) / float64(max(l.Parallel, 1)))
+// queueWait returns the time until a request runs that has ahead others queued before it.
+func (l *Leaf) queueWait(ahead float64) time.Duration {
+	return time.Duration(ahead * float64(l.serviceTime) / float64(max(l.Parallel, 1)))
 }
 
-// Due is when the part that a call brings is wanted.
+// Due is the deadline of the partial result that a call returns.
 type Due struct {
-	// Objective is the time within which an answer has its full worth.
+	// Objective is the latency objective of the whole request.
 	Objective time.Duration
-	// Left is what is left of it for the part; 0 where it is late already, or not needed.
+	// Left is the remaining time for the part; 0 if it is late already or not needed.
 	Left time.Duration
 }
 
-// TooLate reports whether a request would come too late at a leaf that takes long for its
-// objective, for the requests that are before it, and after what time these have run. One
-// with nobody before it never does. One that is late already, or not needed, gives way to
-// all others: the leaf must run nothing for this host.
+// TooLate reports whether a request to a leaf with a long run time would miss its deadline
+// because of the requests queued before it, and how long these are expected to take. A request
+// to an idle leaf is never too late. One that is late already or not needed yields to all
+// others: it is too late also if the leaf runs anything for this host.
 //
-// Without it a shard whose only server is slow has a full queue, and everyone's part comes
-// late, though it has room for some. It is for slow leaves only: at others the time of a request
-// is not known well enough, so that short requests would be put off that could be in time.
+// This keeps the queue of a slow leaf short enough that some requests meet their deadline. It
+// does not apply to fast leaves, whose run times are not known precisely enough: requests that
+// could be in time would be delayed.
 func (s *Set) TooLate(i int, due Due, now time.Time) (wait time.Duration, late bool) {
 	run := s.runTime(i, now)
-	if run <= time.Duration(slowPart*float64(due.Objective)) {
+	if run <= time.Duration(slowRunFraction*float64(due.Objective)) {
 		return 0, false
 	}
 	wait = s.Wait(i, now)
-	idle := time.Duration(idleAhead * float64(s.Leaves[i].inTurn(1)))
+	idle := time.Duration(maxIdleQueue * float64(s.Leaves[i].queueWait(1)))
 	if due.Left <= 0 {
-		return max(wait, s.Leaves[i].work, slowFloor), wait > idle || s.Leaves[i].Slots.InUse() > 0
+		return max(wait, s.Leaves[i].serviceTime, minOutlierLatency), wait > idle || s.Leaves[i].Slots.InUse() > 0
 	}
 	return wait, wait > idle && wait+run > due.Left
 }
 
-// Soonest estimates after what time a request would have run at the leaf that brings it
-// first, and how long it would run there; 0 is unknown, as of one that has just started, and
-// good. Where all are ejected or none is left both are never. The leaves in the bit set
-// exclude do not count.
+// Soonest estimates the completion time of a request, from now, at the leaf that would complete
+// it first, and its run time there. 0 means unknown, as for a leaf that has just started, and
+// compares as fastest. If all leaves are ejected or excluded, both are math.MaxInt64. Leaves in
+// the bit set exclude are not considered.
 func (s *Set) Soonest(exclude uint64, now time.Time) (expected, run time.Duration) {
 	expected, run = math.MaxInt64, math.MaxInt64
 	for i := range s.Leaves {
 		if !s.usable(i, now, exclude) || s.Ejected(i, now) {
 			continue
 		}
-		own := s.runTime(i, now)
-		if e := s.Wait(i, now) + own; e < expected {
-			expected, run = e, own
+		leafRun := s.runTime(i, now)
+		if total := s.Wait(i, now) + leafRun; total < expected {
+			expected, run = total, leafRun
 		}
 	}
 	return expected, run
 }
 
-// KnownSlow reports whether a leaf is known to be slow, by observation or report, or is
-// ejected.
+// KnownSlow reports whether a leaf is observed or reported to be slow, or is ejected.
 func (s *Set) KnownSlow(i int, now time.Time) bool {
 	leaf := s.Leaves[i]
-	return s.avoided(i, now) || leaf.reported > 0 && now.Before(leaf.reportedUntil)
+	return s.avoided(i, now) || leaf.reportedLatency > 0 && now.Before(leaf.reportExpiry)
 }
 
-// LeastWait estimates how long a request would wait at the leaf where it waits
-// least, of those that may be used and are not in the bit set exclude.
+// LeastWait returns the shortest estimated wait among the usable leaves outside the bit set
+// exclude; 0 if there are none.
 func (s *Set) LeastWait(exclude uint64, now time.Time) time.Duration {
 	least := time.Duration(-1)
 	for i := range s.Leaves {
--- a/replica/wait_test.go
+++ b/replica/wait_test.go
@@ -11,25 +11,26 @@
 
 const ms = time.Millisecond
 
-// told lets a leaf answer a request of 20 ms and tell a queue.
-func told(s *replica.Set, i, waiting int, now time.Time) {
+// reportQueue records a reply of leaf i, with a service time of 20 ms, that reports waiting
+// queued requests.
+func reportQueue(s *replica.Set, i, waiting int, now time.Time) {
 	s.Queued(i, waiting, 20*ms*time.Duration(1+waiting), now)
 }
 
-func TestRequestGoesWhereFewerWait(t *testing.T) {
+func TestReplicaWithShorterQueueIsPicked(t *testing.T) {
 	s := newSet(2, 4, replica.Observed)
 	for i := range 2 {
 		answer(s, i, 20*ms, start)
 	}
-	told(s, 0, 6, start)
-	told(s, 1, 0, start)
+	reportQueue(s, 0, 6, start)
+	reportQueue(s, 1, 0, start)
 	assert.Equal(t, s.Pick(start, 0, 0), 1)
 	assert.Equal(t, s.Wait(0, start), 6*20*ms)
 	assert.Equal(t, s.LeastWait(0, start), time.Duration(0))
 }
 
-// A host of a large fleet hears of one server every half second: of three servers
-// of a shard the one not heard of longest must not seem empty.
+// In a large fleet a host gets a queue report of one replica every half second: the replica with
+// the oldest report must not appear idle.
 func TestQueueIsRememberedBetweenRareReports(t *testing.T) {
 	for _, gap := range []time.Duration{20 * ms, 500 * ms} {
 		s := newSet(3, 4, replica.Observed)
@@ -37,24 +38,24 @@
 		for range 20 {
 			now = now.Add(gap)
 			for i := range 3 {
-				told(s, i, 6, now)
+				reportQueue(s, i, 6, now)
 			}
 		}
 		assert.Assert(t, s.LeastWait(0, now.Add(gap)) > 60*ms, "%v after %v", s.LeastWait(0, now.Add(gap)), gap)
-		assert.Assert(t, s.LeastWait(0, now.Add(10*gap+2*time.Second)) < 10*ms, "a queue that nothing is heard of lasts for ever")
+		assert.Assert(t, s.LeastWait(0, now.Add(10*gap+2*time.Second)) < 10*ms, "a queue without reports must decay")
 	}
 }
 
-// A neighbour on the machine makes a leaf four times slower for half a second. It is avoided
-// for that time, and its own work is not taken to have grown.
-func TestSlownessOfAMachineIsToldAndForgotten(t *testing.T) {
+// A leaf whose machine is temporarily slow is avoided for that time, and its service time estimate
+// does not grow.
+func TestReportedSlowdownDecays(t *testing.T) {
 	s := newSet(2, 4, replica.Observed)
 	now := start
 	for range 20 {
 		now = now.Add(50 * ms)
 		for i := range 2 {
 			s.Answered(i, 20*ms, now)
-			told(s, i, 0, now)
+			reportQueue(s, i, 0, now)
 		}
 	}
 	s.Slowed(0, 4, now)
@@ -72,19 +73,19 @@
 	assert.Assert(t, run < 21*ms, "%v", run)
 }
 
-// Where all slots of this host are taken, the other hosts' are taken to be too.
-func TestFullServerMeansAWait(t *testing.T) {
+// If all slots of this host are in use, those of the other hosts are assumed to be too.
+func TestFullReplicaImpliesAWait(t *testing.T) {
 	s := newSet(1, 3, replica.Observed)
 	s.Leaves[0].Parallel, s.Leaves[0].Sharers = 2, 3
-	told(s, 0, 0, start)
+	reportQueue(s, 0, 0, start)
 	for range 3 {
 		assert.Assert(t, s.Acquire(0, start))
 	}
-	assert.Equal(t, s.Wait(0, start), 70*ms, "nine requests, two at a time")
+	assert.Equal(t, s.Wait(0, start), 70*ms, "nine requests, two of them running")
 }
 
-// A replica near by took 35 ms once, one far off takes 8 ms and costs 40 more for the way.
-// Both are free: the near one is chosen, and found to be fast again.
+// A nearby replica with an old, slow sample is chosen over a distant free one that is faster, so
+// that its estimate can recover.
 func TestFreeReplicaIsNotWaitedFor(t *testing.T) {
 	s := newSet(2, 4, replica.Observed)
 	s.Leaves[1].Distance = 40 * ms
@@ -95,5 +96,5 @@
 	for s.Leaves[1].Slots.Free(now) {
 		s.Acquire(1, now)
 	}
-	assert.Equal(t, s.Pick(now, 0, 0), replica.None, "it is worth waiting for one that is busy")
+	assert.Equal(t, s.Pick(now, 0, 0), replica.None, "waiting for the busy replica is faster")
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -69,7 +69,7 @@
 TestHostsLearnOfSlowServersFromTheRelay@internal/gateway/send.go@s/\trc.takeReport\(reply, now\)\n//@what relays say of servers is not used
 TestDarkServerIsAvoided@internal/gateway/send.go@s/if cut \{\n\t\treturn callCut\n\t\}\n\tout.unreachable/if cut {\n\t\treturn callNoEvidence\n\t}\n\tout.unreachable/@a connection that was given up says nothing
 TestReplicaSilentFromTheStartIsAvoided@replica/observe.go@s/if elapsed > leaf.latency \{/if elapsed > leaf.latency && leaf.latency > 0 {/@a server that never answered stays unknown
-TestOwnFreshObservationGoesBeforeAReport@replica/report.go@s/now.Sub\(leaf.observed\) > ownLife/true/@a report ends fresh observations
+TestRecentObservationTakesPrecedenceOverReport@replica/report.go@s/now.Sub\(leaf.lastObserved\) > localObservationTTL/true/@a report ends fresh observations
 TestTrimmedBatchesHoldTheGreatest@fanout/trimmer.go@s/Top\(t.top, t.best, records\)/Top(t.top, records, records)/@records sent once raise the floor twice
 TestRequestWaitsForTheStartOfItsHost@internal/gateway/serve.go@s/startWait = 150/startWait = 0/@a starting host refuses every request
 TestOversizedRequestsAreRefused@internal/gateway/serve.go@s/r.HeaderBytes > limits.HeaderBytes/false/@headers of any size are taken
@@ -79,12 +79,12 @@
 TestForgottenConnectionsAreNotUsed@internal/peer/client.go@s/_ = conn.Close\(\) \/\/ Nothing/defer c.pool.Put(address, conn) \/\/ Nothing/@silent connections are kept
 TestHostsDoNotGoBackToOneThatLostTheStore@internal/control/follow.go@s/now.Add\(heldOffFor \+ rand.N\(heldOffFor\/2\)\)/now/@a host that lost the store is followed again at once
 TestEntriesArePacked@internal/control/wire.go@s/p.known == known && p.state == n.changed/p.known == known/@entries of an older state are sent
-TestEjectedReplicaIsNotVouchedFor@replica/report.go@s/silent \|\| o.Ejected/silent/@a server that fails at once is vouched for
+TestEjectedReplicaIsReportedSlow@replica/report.go@s/silent \|\| o.Ejected/silent/@a server that fails at once is reported as fast
 TestFollowerOfACutLeaderLearnsAfterACompaction@internal/control/follow.go@s/if errors.Is\(err, ErrCompacted\) \{/if false {/@a compacted history is taken for a lost store
 TestThreeTimesTheCallers@internal/gateway/serve.go@s/if refused, ok := p.admit\(time.Now\(\)\); !ok \{/if refused, ok := p.admit(time.Now()); !ok && false {/@nothing is refused in an overload
 TestRelayTellsRefusalsAtOnce@internal/gateway/relay.go@s/refusals = time.After\(refusalGap\)/refusals = nil/@refusals are told with the parts
-TestQueueIsRememberedBetweenRareReports@replica/wait.go@s/halfLifeGaps\*l.queueGap/0*l.queueGap/@queues are forgotten between rare reports
-TestReplicaThatLosesAnswersIsChosenLess@replica/eject.go@s/\tleaf.lost \+= smoothing \* \(1 - leaf.lost\)\n//@failures do not count in the choice of a server
+TestQueueIsRememberedBetweenRareReports@replica/wait.go@s/halfLifeIntervals\*l.reportInterval/0*l.reportInterval/@queues are forgotten between rare reports
+TestReplicaThatLosesAnswersIsChosenLess@replica/eject.go@s/\tleaf.lossRate \+= ewmaWeight \* \(1 - leaf.lossRate\)\n//@failures do not count in the choice of a server
 TestFloodOfTheLowerRankLeavesTheHigherAlone@admission/gate.go@s/floorShare\*\(1-g.refuse\)\*g.offered\(\)\/r.work/0.2/@the floor of a rank grows with what it asks
 TestLateCallersComeLast@admission/gate.go@s/if r.late != ask.Late \{/if false {/@callers that come back late go with the others
 TestWritesDoNotGrowWithTheHosts@internal/control/announce.go@s/if a.followed.Load\(\) \{/if false {/@hosts that follow another announce themselves
