--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -8,54 +8,55 @@
 )
 
 const (
-	// MaxTrials is how often a barred request is tried again after a time. The users allow
-	// three repeats in all; one more may be under way at another host when the request is
+	// MaxTrials is the number of trials of a barred request that follow a probation. Users
+	// accept three repeats; one more may be in flight at another host when the request is
 	// barred.
 	MaxTrials = 2
-	// FirstProbation is for how long a request is barred before its first trial, and
-	// probationGrowth how many times longer each further one takes.
+	// FirstProbation is the time that a request is barred before its first trial. Each
+	// further probation is probationGrowth times longer.
 	FirstProbation  = 30 * time.Second
 	probationGrowth = 10
-	// suspicionLife is for how long a record counts of a request that is not barred: the time
-	// in which a caller that tries again comes back, with room for an outage of the servers.
-	suspicionLife = 2 * time.Minute
-	// servedLife is for how long a request that a server served is not barred, whatever ends
-	// under it: the time of an outage of servers for other reasons. Many attempts of a request
-	// that many callers repeat are under way at once, so that each end of a server is seen by
-	// some, and none of them is alone on its trial.
-	servedLife = 30 * time.Second
-	// verdictTime is for how long a host that has told of a request may have it on trial: two
-	// calls at servers with queues, and the way of the news.
-	verdictTime = 500 * time.Millisecond
-	// barLife is for how long a bar counts.
-	barLife = 24 * time.Hour
-	// MaxCases bounds the requests of a Book. Each takes a few kilobytes here, and a key of the
-	// store for each host that saw it.
+	// suspicionTTL is how long the records of a request that is not barred are kept. It covers
+	// the retries of a caller, including an outage of the servers.
+	suspicionTTL = 2 * time.Minute
+	// servedGrace is how long a request that was served is not barred, so that an outage with
+	// another cause does not bar a popular request: some of its many concurrent attempts see
+	// every crash, and none of them is alone on trial.
+	servedGrace = 30 * time.Second
+	// verdictTimeout is how long after its last record another host may have a request on
+	// trial. It covers two calls to servers with queues and the propagation of the result.
+	verdictTimeout = 500 * time.Millisecond
+	// barTTL is how long a request stays barred.
+	barTTL = 24 * time.Hour
+	// MaxCases bounds the number of requests in a Book. Each takes a few kilobytes of memory,
+	// and a key in the store for each host that reported it.
 	MaxCases = 512
 )
 
-// Book holds what is known of requests under which servers ended. It is not safe for
-// concurrent use.
+// Book holds the records of all hosts about requests during which servers crashed. It is not safe
+// for concurrent use.
 type Book struct {
-	self  string
-	cases map[Fingerprint]*history
-	// lostBy has the requests under which a server ended, by server.
-	lostBy map[string]map[Fingerprint]bool
-	// changes are those of standings that were not asked for yet.
-	changes []Change
+	// self is the name of this host.
+	self      string
+	histories map[Fingerprint]*history
+	// byServer maps a crashed server to the requests that it ran.
+	byServer map[string]map[Fingerprint]bool
+	// pendingChanges are the changes that Changes has not returned yet.
+	pendingChanges []Change
 }
 
-// NewBook returns an empty book of a host.
+// NewBook returns an empty book for the host named self.
 func NewBook(self string) *Book {
-	return &Book{self: self, cases: map[Fingerprint]*history{}, lostBy: map[string]map[Fingerprint]bool{}}
+	return &Book{self: self, histories: map[Fingerprint]*history{}, byServer: map[string]map[Fingerprint]bool{}}
 }
 
-// Len returns the number of requests that the book knows.
-func (b *Book) Len() int { return len(b.cases) }
+// Len returns the number of requests in the book.
+func (b *Book) Len() int { return len(b.histories) }
 
-// Note takes in what this host saw in one attempt, and returns its record as it is now.
+// Note adds what this host observed in one attempt to its record of a request, and returns the
+// merged record.
 func (b *Book) Note(f Fingerprint, seen Record, now time.Time) Record {
-	r := b.caseOf(f, now).records[b.self]
+	r := b.historyOf(f, now).records[b.self]
 	r.Servers, r.Trials, r.Versions = slices.Clone(r.Servers), slices.Clone(r.Trials), slices.Clone(r.Versions)
 	r.add(seen)
 	r.Served = false
@@ -63,161 +64,166 @@
 	return r
 }
 
-// Learn takes in the record of a host, or one's own as the store has it, which may be older
-// than what is known here.
+// Learn replaces the record of a host. The stored record of this host itself is ignored if it is
+// older than the one in the book.
 func (b *Book) Learn(f Fingerprint, host string, r Record, now time.Time) {
-	c := b.caseOf(f, now)
-	if host == b.self && r.Ended < c.records[host].Ended {
+	h := b.historyOf(f, now)
+	if host == b.self && r.Ended < h.records[host].Ended {
 		return
 	}
-	c.records[host] = r.bounded()
-	c.told = now
+	h.records[host] = r.truncated()
+	h.lastReport = now
 	if r.Served {
-		c.served = now
+		h.servedAt = now
 	}
-	b.reconsider(f, now)
+	b.recompute(f, now)
 }
 
-// VerdictBy returns until when another query may have a suspect on trial. A trial of its own beside
-// that one would tell nothing sooner, and may cost a server.
+// VerdictBy returns the time until which another query may have a suspect on trial. A concurrent
+// trial would give no earlier result and might crash another server.
 func (b *Book) VerdictBy(f Fingerprint) time.Time {
-	if c := b.cases[f]; c != nil {
-		return c.told.Add(verdictTime)
+	if h := b.histories[f]; h != nil {
+		return h.lastReport.Add(verdictTimeout)
 	}
 	return time.Time{}
 }
 
-// LearnClaim takes in that a trial was claimed.
-func (b *Book) LearnClaim(n Name, now time.Time) { b.caseOf(n.Fingerprint, now).claims[n.Claim] = true }
+// LearnClaim records that a trial was claimed.
+func (b *Book) LearnClaim(n Name, now time.Time) {
+	b.historyOf(n.Fingerprint, now).claims[n.Claim] = true
+}
 
-// Forget takes in that the record of a host, or a claim, is gone.
+// Forget removes the record of a host, or a claim, that was deleted from the store.
 func (b *Book) Forget(n Name, now time.Time) {
 	f := n.Fingerprint
-	c := b.cases[f]
-	if c == nil {
+	h := b.histories[f]
+	if h == nil {
 		return
 	}
-	delete(c.records, n.Host)
-	delete(c.claims, n.Claim)
-	if len(c.records)+len(c.claims) == 0 {
-		b.drop(f)
+	delete(h.records, n.Host)
+	delete(h.claims, n.Claim)
+	if len(h.records)+len(h.claims) == 0 {
+		b.remove(f)
 		return
 	}
-	b.reconsider(f, now)
+	b.recompute(f, now)
 }
 
-// Clear takes in that a server served a request. It returns the record of this host, which says
-// so, and the names of what others have on it, which is over. Where nothing is known of the
-// request there is nothing to say.
-func (b *Book) Clear(f Fingerprint, now time.Time) (own Record, over []string, known bool) {
-	c := b.cases[f]
-	if c == nil {
+// Clear records that a server served a request. It returns the new record of this host and the
+// names of the records and claims of other hosts, which are obsolete. known is false if the book
+// does not contain the request.
+func (b *Book) Clear(f Fingerprint, now time.Time) (own Record, obsolete []string, known bool) {
+	h := b.histories[f]
+	if h == nil {
 		return Record{}, nil, false
 	}
-	delete(c.records, b.self)
-	over = names(f, c)
+	delete(h.records, b.self)
+	obsolete = storeNames(f, h)
 	own = Record{Served: true}
-	c.records, c.claims, c.served = map[string]Record{b.self: own}, map[string]bool{}, now
-	b.reconsider(f, now)
-	return own, over, true
+	h.records, h.claims, h.servedAt = map[string]Record{b.self: own}, map[string]bool{}, now
+	b.recompute(f, now)
+	return own, obsolete, true
 }
 
-func names(f Fingerprint, c *history) []string {
+// storeNames returns the sorted names of the records and claims of a request.
+func storeNames(f Fingerprint, h *history) []string {
 	var all []string
-	for host := range c.records {
+	for host := range h.records {
 		all = append(all, RecordName(f, host))
 	}
-	for claim := range c.claims {
+	for claim := range h.claims {
 		all = append(all, claimName(f, claim))
 	}
 	slices.Sort(all)
 	return all
 }
 
-// caseOf returns the case of a request, which may be a new one. Where the book is full the
-// oldest that is not barred makes room, else the oldest.
-func (b *Book) caseOf(f Fingerprint, now time.Time) *history {
-	c := b.cases[f]
-	if c == nil {
-		if len(b.cases) >= MaxCases {
-			b.drop(b.oldest())
+// historyOf returns the history of a request, and creates it if there is none. If the book is
+// full, another request is evicted.
+func (b *Book) historyOf(f Fingerprint, now time.Time) *history {
+	h := b.histories[f]
+	if h == nil {
+		if len(b.histories) >= MaxCases {
+			b.remove(b.evictionCandidate())
 		}
-		c = &history{records: map[string]Record{}, claims: map[string]bool{}, since: now}
-		b.cases[f] = c
+		h = &history{records: map[string]Record{}, claims: map[string]bool{}, firstSeen: now}
+		b.histories[f] = h
 	}
-	return c
+	return h
 }
 
-// oldest returns the request that is to make room for another.
-func (b *Book) oldest() Fingerprint {
+// evictionCandidate returns the oldest request that is not barred; if all are, the oldest.
+func (b *Book) evictionCandidate() Fingerprint {
 	var found Fingerprint
 	var best *history
-	for f, c := range b.cases {
-		if best == nil || c.goesBefore(best) {
-			found, best = f, c
+	for f, h := range b.histories {
+		if best == nil || h.evictedBefore(best) {
+			found, best = f, h
 		}
 	}
 	return found
 }
 
-func (c *history) goesBefore(other *history) bool {
-	if c.barredSince.IsZero() != other.barredSince.IsZero() {
-		return c.barredSince.IsZero()
+func (h *history) evictedBefore(other *history) bool {
+	if h.barredSince.IsZero() != other.barredSince.IsZero() {
+		return h.barredSince.IsZero()
 	}
-	return c.since.Before(other.since)
+	return h.firstSeen.Before(other.firstSeen)
 }
 
-// DueTrial returns the name under which a trial of a barred request has to be claimed, if one
-// is due: its probation is over, or the servers in service have other versions than those
-// that it ended, all of them. A host that has not heard of a claim fails to claim it again.
+// DueTrial returns the name under which the next trial of a barred request must be claimed in the
+// store, and whether the trial is due. It is if the probation has passed, or if all versions
+// inService are known and differ from those that crashed. A host that has not received the claim of
+// another one fails to claim the same name.
 func (b *Book) DueTrial(f Fingerprint, inService []string, now time.Time) (name string, due bool) {
-	c := b.cases[f]
-	if c == nil || c.barredSince.IsZero() {
+	h := b.histories[f]
+	if h == nil || h.barredSince.IsZero() {
 		return "", false
 	}
-	ended := c.total.Versions
-	old := func(version string) bool { return version == "" || slices.Contains(ended, version) }
-	if len(ended) > 0 && len(inService) > 0 && !slices.ContainsFunc(inService, old) {
+	crashedVersions := h.summary.Versions
+	mayCrash := func(version string) bool { return version == "" || slices.Contains(crashedVersions, version) }
+	if len(crashedVersions) > 0 && len(inService) > 0 && !slices.ContainsFunc(inService, mayCrash) {
 		claim := "version-" + strings.Join(slices.Sorted(slices.Values(inService)), "-")
-		if !c.claims[claim] {
+		if !h.claims[claim] {
 			return claimName(f, claim), true
 		}
 	}
 	probation := FirstProbation
 	for n := range MaxTrials {
 		claim := fmt.Sprint("probation-", n+1)
-		if !c.claims[claim] {
-			return claimName(f, claim), now.Sub(c.barredSince) >= probation
+		if !h.claims[claim] {
+			return claimName(f, claim), now.Sub(h.barredSince) >= probation
 		}
 		probation *= probationGrowth
 	}
 	return "", false
 }
 
-// Expired returns the names of what is on requests whose time is over, and forgets them.
+// Expired removes expired requests and returns the names of their records and claims. It also
+// updates the standing of requests whose servedGrace has passed.
 func (b *Book) Expired(now time.Time) []string {
-	var over []string
-	for f, c := range b.cases {
-		if !c.served.IsZero() && now.Sub(c.served) < servedLife {
+	var expired []string
+	for f, h := range b.histories {
+		if !h.servedAt.IsZero() && now.Sub(h.servedAt) < servedGrace {
 			continue
 		}
-		wasServed := !c.served.IsZero()
+		wasServed := !h.servedAt.IsZero()
 		if wasServed {
-			c.served = time.Time{}
-			b.reconsider(f, now)
+			h.servedAt = time.Time{}
+			b.recompute(f, now)
 		}
-		if wasServed && c.standing == Clear || c.expired(now) {
-			over = append(over, names(f, c)...)
-			b.drop(f)
+		if wasServed && h.standing == Clear || h.expired(now) {
+			expired = append(expired, storeNames(f, h)...)
+			b.remove(f)
 		}
 	}
-	return over
+	return expired
 }
 
-// expired reports whether the time of a request is over.
-func (c *history) expired(now time.Time) bool {
-	if c.standing == Barred {
-		return now.Sub(c.barredSince) >= barLife
+// expired reports whether the TTL of a request has passed.
+func (h *history) expired(now time.Time) bool {
+	if h.standing == Barred {
+		return now.Sub(h.barredSince) >= barTTL
 	}
-	return now.Sub(c.since) >= suspicionLife
+	return now.Sub(h.firstSeen) >= suspicionTTL
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,22 +1,22 @@
-// Package quarantine decides which requests are kept from servers because servers end
-// under them: a request that ends each server which runs it takes a whole service down if
-// it is tried again wherever it comes.
+// Package quarantine detects poison requests, which crash every server that runs them, and decides
+// when to stop sending them: retries of such a request can take a whole service down.
 //
-// A request is known by its Fingerprint, which is that of its content and its caller, not of
-// one attempt. A Book holds what the hosts saw of fingerprints under which servers ended, and
-// gives the Standing of each.
+// A request is identified by its Fingerprint, a hash of its content and its caller that is the same
+// for all attempts. A Book merges the records of all hosts about crashes during a request into the
+// Standing of that request. A crash, or end, of a server is the end of its process while it ran a
+// request. A request is on trial when it is sent to one server alone.
 //
 // Invariants:
-//   - A request is barred only after LeastEnds servers ended under it, LeastTrials of them on
-//     trial: it was sent there alone, after others had ended. A lost failure domain ends many
-//     servers under a request that has nothing to do with it; the trial is served then.
-//   - The end of one process is put down to one of the requests that saw it.
-//   - Every change of a standing is told by Changes, once, also where it follows from what
-//     became of another request or from the time.
+//   - A request is barred only after LeastEnds servers crashed while running it, LeastTrials of
+//     them on trial after earlier crashes. The loss of a failure domain ends servers under many
+//     unrelated requests, but these are served on trial.
+//   - The end of one process is attributed to only one of the requests that it ran.
+//   - Changes returns each change of a standing exactly once, whether it follows from a record of
+//     the request, from the state of another request or from the passing of time.
 //   - A server that serves a request clears it.
-//   - A barred request goes to a server only on a trial that one host of all has claimed, at
-//     most MaxTrials times, each after a longer probation, and once more when all servers
-//     have another version than those that it ended.
-//   - What a Book holds is bounded: the oldest goes first, those that are not barred before
-//     those that are.
+//   - A barred request is sent only on trials that a single host has claimed: at most MaxTrials,
+//     each after a longer probation, and one more when all servers run a version under which
+//     none has crashed.
+//   - The size of a Book is bounded: the oldest requests are evicted first, those that are not
+//     barred before those that are.
 package quarantine
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// MaxNamed bounds the servers that a record names.
+	// MaxNamed bounds the number of servers, trials and versions in a record.
 	MaxNamed = 4 * LeastEnds
 	// MaxWhat bounds the description of a request for operators, in bytes.
 	MaxWhat = 160
-	// hostPart and trialPart tell the records of hosts and the claims of trials apart.
-	hostPart, trialPart = "host/", "trial/"
+	// hostPrefix and trialPrefix distinguish names of records and of claims in the store.
+	hostPrefix, trialPrefix = "host/", "trial/"
 )
 
-// Record is what one host saw of a request.
+// Record is what one host observed of a request.
 type Record struct {
-	// Servers are servers that ended under it, MaxNamed at most; Ended is the number of all.
+	// Servers are crashed servers, at most MaxNamed. Ended is the number of all crashes.
 	Servers []string
 	Ended   int
-	// Trials are those of them that ended on trial, MaxNamed at most.
+	// Trials are the servers that crashed on trial, at most MaxNamed.
 	Trials []string
-	// Versions are those of the servers that ended, MaxNamed at most.
+	// Versions are the software versions of the crashed servers, at most MaxNamed.
 	Versions []string
-	// What describes the request to operators.
+	// What describes the request to operators, in at most MaxWhat bytes.
 	What string
-	// At is when the last server ended, in milliseconds of Unix time, for operators.
+	// At is the time of the last crash in Unix milliseconds, for operators.
 	At int64
-	// Served tells that a server served it since.
+	// Served is whether a server served the request after the crashes.
 	Served bool
 }
 
-// add takes another record of the same host into this one.
-func (r *Record) add(more Record) {
-	r.Servers = addBounded(r.Servers, more.Servers...)
-	r.Trials = addBounded(r.Trials, more.Trials...)
-	r.Versions = addBounded(r.Versions, more.Versions...)
-	r.Ended += more.Ended
-	r.What, r.At = more.What, more.At
+// add merges another record of the same host into r.
+func (r *Record) add(other Record) {
+	r.Servers = appendUnique(r.Servers, other.Servers...)
+	r.Trials = appendUnique(r.Trials, other.Trials...)
+	r.Versions = appendUnique(r.Versions, other.Versions...)
+	r.Ended += other.Ended
+	r.What, r.At = other.What, other.At
 }
 
-// bounded returns a record with as much as one may hold.
-func (r Record) bounded() Record {
-	r.Servers, r.Trials, r.Versions = addBounded(nil, r.Servers...), addBounded(nil, r.Trials...), addBounded(nil, r.Versions...)
+// truncated returns the record with its lists and description cut to their bounds.
+func (r Record) truncated() Record {
+	r.Servers, r.Trials, r.Versions = appendUnique(nil, r.Servers...), appendUnique(nil, r.Trials...), appendUnique(nil, r.Versions...)
 	r.What = r.What[:min(len(r.What), MaxWhat)]
 	return r
 }
 
-// addBounded adds texts to a few, each once.
-func addBounded(list []string, texts ...string) []string {
+// appendUnique appends the texts that list does not contain, up to MaxNamed elements.
+func appendUnique(list []string, texts ...string) []string {
 	for _, text := range texts {
 		if len(list) < MaxNamed && !slices.Contains(list, text) {
 			list = append(list, text)
@@ -58,30 +58,31 @@
 	return list
 }
 
-// RecordName returns the name under which the store keeps what a host saw of a request.
-func RecordName(f Fingerprint, host string) string { return f.String() + "/" + hostPart + host }
+// RecordName returns the name of the record of a host in the store.
+func RecordName(f Fingerprint, host string) string { return f.String() + "/" + hostPrefix + host }
 
-func claimName(f Fingerprint, claim string) string { return f.String() + "/" + trialPart + claim }
+// claimName returns the name of the claim of a trial in the store.
+func claimName(f Fingerprint, claim string) string { return f.String() + "/" + trialPrefix + claim }
 
-// Name is a name of the store taken apart: that of the record of a host, or of the claim of a
-// trial. One of the two is empty.
+// Name is the parsed name of a record, which has a Host, or of the claim of a trial, which has a
+// Claim.
 type Name struct {
 	Fingerprint Fingerprint
 	Host, Claim string
 }
 
-// ParseName takes a name of the store apart.
+// ParseName parses the name of a record or claim in the store.
 func ParseName(name string) (Name, error) {
 	text, part, _ := strings.Cut(name, "/")
 	f, err := Parse(text)
 	if err != nil {
 		return Name{}, err
 	}
-	if host, ok := strings.CutPrefix(part, hostPart); ok && host != "" {
+	if host, ok := strings.CutPrefix(part, hostPrefix); ok && host != "" {
 		return Name{Fingerprint: f, Host: host}, nil
 	}
-	if claim, ok := strings.CutPrefix(part, trialPart); ok && claim != "" {
+	if claim, ok := strings.CutPrefix(part, trialPrefix); ok && claim != "" {
 		return Name{Fingerprint: f, Claim: claim}, nil
 	}
-	return Name{}, fmt.Errorf("%q names neither the record of a host nor a trial", name)
+	return Name{}, fmt.Errorf("invalid quarantine name %q: want FINGERPRINT/host/HOST or FINGERPRINT/trial/CLAIM", name)
 }
--- a/quarantine/standing.go
+++ b/quarantine/standing.go
@@ -8,82 +8,85 @@
 )
 
 const (
-	// LeastEnds is the number of servers that must have ended under a request before it is
-	// barred: what the users allow.
+	// LeastEnds is the number of servers that must crash under a request before it is
+	// barred, which is the number that users accept.
 	LeastEnds = 3
-	// LeastTrials is the number of them that must have been sent the request alone. One is not
-	// enough where two requests lost the same servers, go on trial at the same moment and meet
-	// again at the next one.
+	// LeastTrials is the number of those servers that must crash on trial. One is not enough:
+	// two requests that lost the same servers may go on trial at the same server at the same
+	// time.
 	LeastTrials = 2
 )
 
-// Standing is what is to be done with a request.
+// Standing tells how a request is to be treated.
 type Standing int
 
 const (
-	// Clear: nothing is known against it.
+	// Clear means that no crash is attributed to the request.
 	Clear Standing = iota
-	// Suspect: servers ended under it. It is sent to one server alone before others.
+	// Suspect means that servers crashed. The request is sent to one server alone first.
 	Suspect
-	// Barred: it goes to no server.
+	// Barred means that the request is not sent to any server, except on a claimed trial.
 	Barred
 )
 
 // String returns the name used in logs.
 func (s Standing) String() string { return [...]string{"clear", "suspect", "barred"}[s] }
 
-// Change is that of the standing of a request.
+// Change is a change of the standing of a request.
 type Change struct {
-	// Now is what is known of the request since.
+	// Now is the summary of the request after the change.
 	Now Summary
-	// Before is its standing until then.
+	// Before is the standing before the change.
 	Before Standing
 }
 
-// Summary is what all hosts saw of a request, for operators.
+// Summary merges the records of all hosts about a request.
 type Summary struct {
 	Fingerprint Fingerprint
 	Standing    Standing
-	// Ended is the number of servers that ended under it.
+	// Ended is the sum of the crashes that the hosts saw. A crash that several hosts saw counts
+	// once for each.
 	Ended int
-	// Hosts are those that saw it.
+	// Hosts are the hosts that have a record of the request.
 	Hosts   []string
 	Servers []string
-	// Trials are those of the servers that ended on trial.
+	// Trials are the servers that crashed on trial.
 	Trials   []string
 	Versions []string
 	What     string
 	At       int64
-	// Claims is the number of trials that were claimed since it was barred.
+	// Claims is the number of claimed trials.
 	Claims int
-	// ExplainedBy are barred requests to which ends of its servers are put down.
+	// ExplainedBy are the barred requests to which crashes of its servers are attributed instead.
 	ExplainedBy []Fingerprint
 }
 
-// history is what all hosts saw of one request.
+// history holds the records of all hosts about one request and the state derived from them.
 type history struct {
-	// records are by host.
+	// records maps host names to records.
 	records map[string]Record
-	// claims are the names of the trials that were claimed.
+	// claims is the set of claimed trials.
 	claims map[string]bool
-	// since is from when on something was known here, barredSince from when on it was barred;
-	// zero where it is not.
-	since, barredSince time.Time
-	// told is when a record was last heard of.
-	told time.Time
-	// served is when it was heard that a server served it; zero after servedLife.
-	served time.Time
-	// total sums the records up, with the standing that follows from them alone.
-	total Summary
-	// standing is the one in force: without the ends that explainedBy stand in for.
+	// firstSeen is the time of the first record or claim here; barredSince is zero unless the
+	// records bar the request.
+	firstSeen, barredSince time.Time
+	// lastReport is the time at which the last record arrived.
+	lastReport time.Time
+	// servedAt is the time at which this host learned that a server served the request; zero
+	// after servedGrace.
+	servedAt time.Time
+	// summary merges the records, with the standing that follows from them alone.
+	summary Summary
+	// standing is the effective standing, without the crashes attributed to explainedBy.
 	standing    Standing
 	explainedBy []Fingerprint
 }
 
-func (c *history) sum(f Fingerprint) Summary {
-	s := Summary{Fingerprint: f, Hosts: slices.Sorted(maps.Keys(c.records))}
+// summarize merges the records of a request.
+func (h *history) summarize(f Fingerprint) Summary {
+	s := Summary{Fingerprint: f, Hosts: slices.Sorted(maps.Keys(h.records))}
 	for _, host := range s.Hosts {
-		r := c.records[host]
+		r := h.records[host]
 		s.Ended += r.Ended
 		s.Servers = union(s.Servers, r.Servers)
 		s.Versions = union(s.Versions, r.Versions)
@@ -93,12 +96,13 @@
 		}
 	}
 	s.Standing = standingOf(s.Servers, s.Trials)
-	if !c.served.IsZero() {
+	if !h.servedAt.IsZero() {
 		s.Standing = min(s.Standing, Suspect)
 	}
 	return s
 }
 
+// union appends the elements of b that a does not contain to a.
 func union(a, b []string) []string {
 	for _, s := range b {
 		if !slices.Contains(a, s) {
@@ -108,7 +112,7 @@
 	return a
 }
 
-// standingOf returns the standing that follows from the servers that ended.
+// standingOf returns the standing that follows from the crashed servers.
 func standingOf(servers, trials []string) Standing {
 	switch {
 	case len(servers) >= LeastEnds && len(trials) >= LeastTrials:
@@ -119,11 +123,11 @@
 	return Clear
 }
 
-// lost returns the servers that a summary names.
-func (s Summary) lost() []string { return union(slices.Clone(s.Servers), s.Trials) }
+// crashedServers returns all servers in the summary.
+func (s Summary) crashedServers() []string { return union(slices.Clone(s.Servers), s.Trials) }
 
-// outweighs reports whether an end that two requests saw is put down to this one: hosts saw
-// more ends under it. The end of one process counts once for each host that saw it.
+// outweighs reports whether a crash shared by two requests is attributed to s rather than other:
+// hosts saw more crashes under s. The lower fingerprint breaks ties.
 func (s Summary) outweighs(other Summary) bool {
 	if s.Ended != other.Ended {
 		return s.Ended > other.Ended
@@ -131,140 +135,145 @@
 	return strings.Compare(s.Fingerprint.String(), other.Fingerprint.String()) < 0
 }
 
-func without(list, taken []string) []string {
-	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return slices.Contains(taken, s) })
+// difference returns the elements of list that are not in removed.
+func difference(list, removed []string) []string {
+	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return slices.Contains(removed, s) })
 }
 
-// reconsider sums a request up after something about it has changed. Whatever the reason was, an
-// event, the time or room for another, what it changes in the standing of this request or any
-// other is found here, and here alone.
-func (b *Book) reconsider(f Fingerprint, now time.Time) {
-	c := b.cases[f]
-	before := c.total
-	b.unlist(before)
-	c.total = c.sum(f)
-	b.list(c.total)
+// recompute updates the summary of a request after a change, and the standings of this request
+// and of those that share crashed servers with it. Only recompute and remove change standings.
+func (b *Book) recompute(f Fingerprint, now time.Time) {
+	h := b.histories[f]
+	before := h.summary
+	b.unindex(before)
+	h.summary = h.summarize(f)
+	b.index(h.summary)
 	switch {
-	case c.total.Standing != Barred:
-		c.barredSince = time.Time{}
-	case c.barredSince.IsZero():
-		c.barredSince = now
+	case h.summary.Standing != Barred:
+		h.barredSince = time.Time{}
+	case h.barredSince.IsZero():
+		h.barredSince = now
 	}
-	b.settle(f)
-	b.settleExplained(before)
-	b.settleExplained(c.total)
+	b.updateStanding(f)
+	b.updateRelated(before)
+	b.updateRelated(h.summary)
 }
 
-// drop forgets a request.
-func (b *Book) drop(f Fingerprint) {
-	c := b.cases[f]
-	delete(b.cases, f)
-	b.unlist(c.total)
-	b.note(Summary{Fingerprint: f}, c.standing)
-	b.settleExplained(c.total)
+// remove deletes a request from the book.
+func (b *Book) remove(f Fingerprint) {
+	h := b.histories[f]
+	delete(b.histories, f)
+	b.unindex(h.summary)
+	b.recordChange(Summary{Fingerprint: f}, h.standing)
+	b.updateRelated(h.summary)
 }
 
-// settleExplained settles the requests whose ends one that is or was barred may stand in for.
-func (b *Book) settleExplained(by Summary) {
+// updateRelated updates the standings of the requests that share crashed servers with one that is
+// or was barred.
+func (b *Book) updateRelated(by Summary) {
 	if by.Standing != Barred {
 		return
 	}
-	for f := range b.sharing(by) {
-		b.settle(f)
+	for f := range b.requestsSharing(by) {
+		b.updateStanding(f)
 	}
 }
 
-// settle works out the standing of a request, and notes where that has changed.
-func (b *Book) settle(f Fingerprint) {
-	c := b.cases[f]
-	before := c.standing
-	c.standing, c.explainedBy = b.unexplained(c.total)
-	b.note(b.Summary(f), before)
+// updateStanding recomputes the effective standing of a request and records a change of it.
+func (b *Book) updateStanding(f Fingerprint) {
+	h := b.histories[f]
+	before := h.standing
+	h.standing, h.explainedBy = b.attributedStanding(h.summary)
+	b.recordChange(b.Summary(f), before)
 }
 
-func (b *Book) note(s Summary, before Standing) {
+// recordChange adds a pending change if the standing of s differs from before.
+func (b *Book) recordChange(s Summary, before Standing) {
 	if s.Standing != before {
-		b.changes = append(b.changes, Change{Now: s, Before: before})
+		b.pendingChanges = append(b.pendingChanges, Change{Now: s, Before: before})
 	}
 }
 
-// unexplained returns the standing of a request by those ends of servers alone for which no
-// other barred request stands in, and the requests that do. The end of one process has one cause,
-// and every request that it ran saw it: a server on which two were on trial at the same moment,
-// after one of them had ended others of both, would bar both.
-func (b *Book) unexplained(s Summary) (Standing, []Fingerprint) {
+// attributedStanding returns the standing of a request that follows from the crashes that are not
+// attributed to other barred requests, and those requests. A crash has one cause, but every request
+// that the process ran sees it: without attribution, two requests on trial at the same server at
+// the same time would both be barred.
+func (b *Book) attributedStanding(s Summary) (Standing, []Fingerprint) {
 	if s.Standing != Barred {
 		return s.Standing, nil
 	}
 	var by []Fingerprint
-	for f := range b.sharing(s) {
-		other := b.cases[f].total
+	for f := range b.requestsSharing(s) {
+		other := b.histories[f].summary
 		if other.Standing == Barred && other.outweighs(s) {
-			s.Servers, s.Trials = without(s.Servers, other.Servers), without(s.Trials, other.Servers)
+			s.Servers, s.Trials = difference(s.Servers, other.Servers), difference(s.Trials, other.Servers)
 			by = append(by, f)
 		}
 	}
 	return max(standingOf(s.Servers, s.Trials), Suspect), by
 }
 
-// sharing returns the other requests that lost a server of this one.
-func (b *Book) sharing(s Summary) map[Fingerprint]bool {
+// requestsSharing returns the other requests that a crashed server of s ran.
+func (b *Book) requestsSharing(s Summary) map[Fingerprint]bool {
 	found := map[Fingerprint]bool{}
-	for _, server := range s.lost() {
-		maps.Copy(found, b.lostBy[server])
+	for _, server := range s.crashedServers() {
+		maps.Copy(found, b.byServer[server])
 	}
 	delete(found, s.Fingerprint)
 	return found
 }
 
-func (b *Book) list(s Summary) {
-	for _, server := range s.lost() {
-		if b.lostBy[server] == nil {
-			b.lostBy[server] = map[Fingerprint]bool{}
+// index adds a summary to byServer.
+func (b *Book) index(s Summary) {
+	for _, server := range s.crashedServers() {
+		if b.byServer[server] == nil {
+			b.byServer[server] = map[Fingerprint]bool{}
 		}
-		b.lostBy[server][s.Fingerprint] = true
+		b.byServer[server][s.Fingerprint] = true
 	}
 }
 
-func (b *Book) unlist(s Summary) {
-	for _, server := range s.lost() {
-		delete(b.lostBy[server], s.Fingerprint)
-		if len(b.lostBy[server]) == 0 {
-			delete(b.lostBy, server)
+// unindex removes a summary from byServer.
+func (b *Book) unindex(s Summary) {
+	for _, server := range s.crashedServers() {
+		delete(b.byServer[server], s.Fingerprint)
+		if len(b.byServer[server]) == 0 {
+			delete(b.byServer, server)
 		}
 	}
 }
 
-// Changes returns how standings have changed since this was last asked, in their order.
+// Changes returns the changes of standings since the last call, in order.
 func (b *Book) Changes() []Change {
-	changes := b.changes
-	b.changes = nil
+	changes := b.pendingChanges
+	b.pendingChanges = nil
 	return changes
 }
 
 // Standing returns the standing of a request.
 func (b *Book) Standing(f Fingerprint) Standing {
-	if c := b.cases[f]; c != nil {
-		return c.standing
+	if h := b.histories[f]; h != nil {
+		return h.standing
 	}
 	return Clear
 }
 
-// Summary returns what is known of a request.
+// Summary returns the summary of a request; one that is not in the book is Clear.
 func (b *Book) Summary(f Fingerprint) Summary {
-	c := b.cases[f]
-	if c == nil {
+	h := b.histories[f]
+	if h == nil {
 		return Summary{Fingerprint: f}
 	}
-	s := c.total
-	s.Standing, s.ExplainedBy, s.Claims = c.standing, c.explainedBy, len(c.claims)
+	s := h.summary
+	s.Standing, s.ExplainedBy, s.Claims = h.standing, h.explainedBy, len(h.claims)
 	return s
 }
 
-// Summaries returns what is known of all requests, the barred ones first.
+// Summaries returns the summaries of all requests, sorted by descending standing, then by
+// fingerprint.
 func (b *Book) Summaries() []Summary {
-	all := make([]Summary, 0, len(b.cases))
-	for f := range b.cases {
+	all := make([]Summary, 0, len(b.histories))
+	for f := range b.histories {
 		all = append(all, b.Summary(f))
 	}
 	slices.SortFunc(all, func(a, b Summary) int {
--- a/quarantine/suspicion.go
+++ b/quarantine/suspicion.go
@@ -3,127 +3,130 @@
 import "time"
 
 const (
-	// trialSettle is for how long no server may have ended under a query, but on trial, for
-	// the end of one on trial to count: those that end together, as with a failure domain, are
-	// noticed within a few milliseconds, however long they work. A trial waits for that time where
-	// the query was taken from its servers, and after another trial; elsewhere it holds nobody up.
-	trialSettle = 25 * time.Millisecond
-	// TrialSpread is the longest wait, drawn at random, before a second trial, beside a shard
-	// drawn at random: requests that lost the same servers would meet on trial again, and one that
-	// ended none be barred. Where work takes longer than this, they are told apart by the shard,
-	// and by which of them ended more servers.
+	// trialQuietPeriod is the minimum time between the last crash outside a trial and a crash on
+	// trial that counts: servers that are lost together, as with a failure domain, are noticed
+	// within a few milliseconds of each other. A trial is delayed by it only after the query was
+	// cancelled at its servers, or after another trial.
+	trialQuietPeriod = 25 * time.Millisecond
+	// TrialSpread is the maximum random delay of a second trial, which also goes to a random
+	// shard. It separates the trials of requests that lost the same servers, so that an innocent
+	// one is not barred with the other. Requests that run longer than this are separated by the
+	// shard and by the number of crashes attributed to each.
 	TrialSpread = 100 * time.Millisecond
-	// stopAfter is the number of servers that end under a query that none has served after
-	// which it is taken from those that run it: one may be chance, and two before any has
-	// served are not, where fewer than half of all are lost.
-	stopAfter = 2
-	// verdictPart is the part of its time, one in so many, for which a query awaits the verdict of
-	// another's trial: the rest is enough for a trial of its own and for the answer.
-	verdictPart = 3
+	// cancelThreshold is the number of crashes under a query that no server has served from
+	// which it is cancelled at the servers that still run it. A single crash may be a
+	// coincidence; two before any reply are unlikely unless half of all servers are lost.
+	cancelThreshold = 2
+	// verdictWaitDivisor divides the time of a query into the part that it may wait for the
+	// result of another query's trial; the rest is for its own trial and the answer.
+	verdictWaitDivisor = 3
 )
 
-// End is the end of a server under a query.
+// End is the crash of a server while it ran a query.
 type End struct {
-	// Server names its process.
+	// Server identifies the process.
 	Server string
-	// Version is that of its software; empty is unknown.
+	// Version is the version of its software; empty is unknown.
 	Version string
-	// OnTrial tells that the query was sent to it alone, after others had ended.
+	// OnTrial is whether the query was sent to the server alone, after other crashes.
 	OnTrial bool
 }
 
-// Suspicion is what one query knows of servers that ended under it. While they are more than
-// those that served it, it is to be sent to one server at a time, on trial: if that serves,
-// the others follow at once; if it ends too, all hosts are to be told. The zero value knows
-// nothing. It is not safe for concurrent use.
+// Suspicion tracks the crashes of servers under one query. While there are more crashes than
+// replies, the query is on trial and must be sent to one server at a time: if that server replies,
+// the others follow; if it crashes too, the crash must be reported to all hosts. The zero value is
+// ready to use. It is not safe for concurrent use.
 //
-// It protects the other callers of a service, whose servers would end with each repeat, and
-// requests that lost servers by chance: to bar by the number of ends alone refuses those that ran
-// beside such a query, or when all servers were lost, though they had nothing to do with it.
+// Trials protect other callers, whose servers each retry would crash, and unrelated requests:
+// a count of crashes alone would also bar requests that ran on the same servers, or during the loss
+// of all servers.
 type Suspicion struct {
-	// suspected tells that servers ended under the same request before.
+	// suspected is whether other attempts or hosts reported crashes under the same request.
 	suspected bool
-	served    int
-	// seen is what is to be told of the servers that ended since one served the query.
-	seen Record
-	// lastEnd is when the last server ended that was not on trial, trialFrom when the next
-	// trial may begin.
-	lastEnd, trialFrom time.Time
-	stopped            bool
+	// served is the number of servers that replied.
+	served int
+	// unreported holds the crashes since the last reply that Tell has not returned yet.
+	unreported Record
+	// lastCrash is the time of the last crash outside a trial, nextTrial the earliest start of
+	// the next trial.
+	lastCrash, nextTrial time.Time
+	cancelled            bool
 }
 
-// Suspect notes that servers ended under the same request before: the query begins on trial, or
-// once another one has been tried.
-func (s *Suspicion) Suspect(verdictBy time.Time) { s.suspected, s.trialFrom = true, verdictBy }
+// Suspect records that servers crashed under earlier attempts of the request: the query starts on
+// trial, not before verdictBy.
+func (s *Suspicion) Suspect(verdictBy time.Time) { s.suspected, s.nextTrial = true, verdictBy }
 
-// AwaitVerdict returns until when a query that came at a time and ends at another is to leave the
-// trial of a suspect to others: words on one that is innocent may follow each other, so that it
-// waits for a part of its time at the most.
-func AwaitVerdict(verdictBy, came, end time.Time) time.Time {
-	if latest := came.Add(end.Sub(came) / verdictPart); latest.Before(verdictBy) {
+// AwaitVerdict returns the time until which a query leaves the trial of a suspect to others. This
+// is verdictBy, but at most a fixed part of the time between arrived and deadline, as a stream of
+// reports about an innocent request would otherwise delay it until its deadline.
+func AwaitVerdict(verdictBy, arrived, deadline time.Time) time.Time {
+	if latest := arrived.Add(deadline.Sub(arrived) / verdictWaitDivisor); latest.Before(verdictBy) {
 		return latest
 	}
 	return verdictBy
 }
 
-// Absolve notes that a server has served the same request since.
+// Absolve records that a server has served another attempt of the request since.
 func (s *Suspicion) Absolve() { s.suspected = false }
 
-// OnTrial reports whether the query is to be sent to one server at a time.
-func (s *Suspicion) OnTrial() bool { return s.served == 0 && s.suspected || s.seen.Ended > s.served }
+// OnTrial reports whether the query must be sent to one server at a time.
+func (s *Suspicion) OnTrial() bool {
+	return s.served == 0 && s.suspected || s.unreported.Ended > s.served
+}
 
-// Wait puts the next trial off, by a time drawn at random: requests that lost the same servers
-// would go on trial at the same moments.
-func (s *Suspicion) Wait(d time.Duration) { s.trialFrom = s.trialFrom.Add(d) }
+// Wait delays the next trial by d. Callers choose it at random, so that requests that lost the same
+// servers do not go on trial at the same time.
+func (s *Suspicion) Wait(d time.Duration) { s.nextTrial = s.nextTrial.Add(d) }
 
-// TrialFrom returns when the next trial may begin.
-func (s *Suspicion) TrialFrom() time.Time { return s.trialFrom }
+// TrialFrom returns the earliest start of the next trial.
+func (s *Suspicion) TrialFrom() time.Time { return s.nextTrial }
 
-// Served notes that a server served the query, and reports whether that clears the request.
+// Served records that a server served the query, and reports whether that clears the request.
 func (s *Suspicion) Served() (clears bool) {
 	s.served++
-	s.seen = Record{}
+	s.unreported = Record{}
 	return s.served == 1 && s.suspected
 }
 
 // WasServed reports whether a server served the query.
 func (s *Suspicion) WasServed() bool { return s.served > 0 }
 
-// Ended notes that a server ended under the query. stop tells that the query is to be taken
-// from the servers that still run it, and all hosts are to suspect it; told that one on trial
-// ended, of which all hosts are to hear now.
-func (s *Suspicion) Ended(e End, now time.Time) (stop, told bool) {
-	s.seen.Ended++
-	s.seen.At = now.UnixMilli()
-	s.seen.Servers = addBounded(s.seen.Servers, e.Server)
+// Ended records the crash of a server under the query. If cancel is true, the query must be
+// cancelled at the servers that still run it and all hosts must suspect it. If report is true, a
+// crash on trial must be reported to all hosts now.
+func (s *Suspicion) Ended(e End, now time.Time) (cancel, report bool) {
+	s.unreported.Ended++
+	s.unreported.At = now.UnixMilli()
+	s.unreported.Servers = appendUnique(s.unreported.Servers, e.Server)
 	if e.Version != "" {
-		s.seen.Versions = addBounded(s.seen.Versions, e.Version)
+		s.unreported.Versions = appendUnique(s.unreported.Versions, e.Version)
 	}
 	if !e.OnTrial {
-		s.lastEnd = now
-		stop = !s.stopped && s.served == 0 && s.seen.Ended >= stopAfter
-		s.stopped = s.stopped || stop
-		if stop {
-			s.trialFrom = now.Add(trialSettle) // Its end would not count before.
+		s.lastCrash = now
+		cancel = !s.cancelled && s.served == 0 && s.unreported.Ended >= cancelThreshold
+		s.cancelled = s.cancelled || cancel
+		if cancel {
+			s.nextTrial = now.Add(trialQuietPeriod) // An earlier crash on trial would not count.
 		}
-		return stop, false
+		return cancel, false
 	}
-	if now.Sub(s.lastEnd) < trialSettle {
-		s.trialFrom = s.lastEnd.Add(trialSettle)
+	if now.Sub(s.lastCrash) < trialQuietPeriod {
+		s.nextTrial = s.lastCrash.Add(trialQuietPeriod)
 		return false, false
 	}
-	s.seen.Trials = addBounded(s.seen.Trials, e.Server)
-	s.trialFrom = now.Add(trialSettle)
+	s.unreported.Trials = appendUnique(s.unreported.Trials, e.Server)
+	s.nextTrial = now.Add(trialQuietPeriod)
 	return false, true
 }
 
-// Tell returns what all hosts are to hear, once, and whether there is anything: servers that
-// ended since one served the query, more than served it.
+// Tell returns the crashes since the last reply that were not reported to all hosts yet, and
+// marks the query as suspected. It returns false if they are not more than the replies.
 func (s *Suspicion) Tell() (Record, bool) {
-	if s.seen.Ended <= s.served {
+	if s.unreported.Ended <= s.served {
 		return Record{}, false
 	}
-	seen := s.seen
-	s.seen, s.suspected = Record{}, true
-	return seen, true
+	record := s.unreported
+	s.unreported, s.suspected = Record{}, true
+	return record, true
 }
--- a/quarantine/witness.go
+++ b/quarantine/witness.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// witnessLife is for how long a broken call may still turn out to have ended its server:
-	// three heartbeats of a server after which its entry lapses, and the time of the news.
-	witnessLife = 10 * time.Second
-	// maxBroken bounds the broken calls that wait; further ones are left out.
-	maxBroken = 256
+	// brokenCallTTL is how long a broken call may be attributed to a crash. It covers the three
+	// heartbeats after which the registry entry of a server expires, and the propagation of
+	// that.
+	brokenCallTTL = 10 * time.Second
+	// maxBrokenCalls bounds the number of tracked calls; further ones are dropped.
+	maxBrokenCalls = 256
 )
 
-// BrokenCall is a call that broke off at a server that may have ended with it.
+// BrokenCall is a call whose connection broke, at a server that may have crashed.
 type BrokenCall struct {
 	Fingerprint Fingerprint
 	End         End
 	// What describes the request to operators.
 	What string
-	// At is when the query that made the call was over.
+	// At is the time at which the query that made the call completed.
 	At time.Time
 }
 
-// Record is what is to be told of the call once its server is known to have ended.
+// Record returns the record of the call for the case that its server has crashed.
 func (c BrokenCall) Record() Record {
 	r := Record{Servers: []string{c.End.Server}, Ended: 1, Versions: []string{c.End.Version}, What: c.What, At: c.At.UnixMilli()}
 	if c.End.OnTrial {
@@ -29,29 +30,31 @@
 	return r
 }
 
-// Witnesses keeps broken calls of queries that nobody served until it is known what became of
-// their servers. One that a supervisor starts again at once accepts the next connection, so
-// that only its entry tells later that it had ended. It is not safe for concurrent use.
+// Witnesses tracks the broken calls of queries that no server served, until it is known whether
+// their servers crashed. A server that a supervisor restarts at once accepts the next connection,
+// so that only its registry entry shows the crash later. It is not safe for concurrent use.
 type Witnesses struct {
+	// calls maps servers to their broken calls.
 	calls map[string][]BrokenCall
+	// count is the number of calls of all servers.
 	count int
 }
 
-// NewWitnesses returns one that waits for nothing.
+// NewWitnesses returns a Witnesses without calls.
 func NewWitnesses() *Witnesses { return &Witnesses{calls: map[string][]BrokenCall{}} }
 
-// Broke takes a broken call in.
+// Broke adds a broken call.
 func (w *Witnesses) Broke(c BrokenCall) {
-	if w.count >= maxBroken {
+	if w.count >= maxBrokenCalls {
 		w.expire(c.At)
 	}
-	if w.count < maxBroken {
+	if w.count < maxBrokenCalls {
 		w.calls[c.End.Server] = append(w.calls[c.End.Server], c)
 		w.count++
 	}
 }
 
-// Ended takes in that a server ended, and returns the calls that it had not long before.
+// Ended removes and returns the recent broken calls of a server that crashed.
 func (w *Witnesses) Ended(server string, now time.Time) []BrokenCall {
 	w.expire(now)
 	calls := w.calls[server]
@@ -60,12 +63,12 @@
 	return calls
 }
 
-// expire forgets the calls whose servers have not ended in time.
+// expire removes calls older than brokenCallTTL.
 func (w *Witnesses) expire(now time.Time) {
 	for server, calls := range w.calls {
 		kept := calls[:0]
 		for _, c := range calls {
-			if now.Sub(c.At) < witnessLife {
+			if now.Sub(c.At) < brokenCallTTL {
 				kept = append(kept, c)
 			}
 		}
--- a/scripts/soak-guards.sh
+++ b/scripts/soak-guards.sh
@@ -35,4 +35,4 @@
 guard "draining" internal/gateway/fleet.go 's/if s.Draining \{/if false {/'
 guard "planned stop" internal/gateway/server.go 's/s.callers.Shutdown\(ctx\)/s.callers.Close()/; s/cut := g.Drained\(ctx\)/cut, _ := 0, ctx/; s/sleep\(ctx, g.settings.GetShutdown\(\).GetBalancerLag\(\).AsDuration\(\)\)//'
 guard "retry budget" retry/window.go 's/> share\*float64\(first\)\+slack/> 1e9+share*float64(first)+slack/'
-guard "quarantine" "quarantine/suspicion.go" 's/return s.served == 0 \&\& s.suspected \|\| s.seen.Ended > s.served/return false/'
+guard "quarantine" "quarantine/suspicion.go" 's/return s.served == 0 \&\& s.suspected \|\| s.unreported.Ended > s.served/return false/'
