--- a/internal/guard/doc.go
+++ b/internal/guard/doc.go
@@ -1,12 +1,12 @@
-// Package guard holds what a host knows of requests under which servers end: it keeps the book
-// of package quarantine, lets the store keep what this host saw, takes in what others saw, and
-// says so in lines and counters.
+// Package guard maintains the quarantine of a host: it holds the quarantine.Book, writes the
+// records of this host to the store, applies those of other hosts, and logs and counts changes.
 //
 // Invariants:
-//   - While nothing is known of any request no fingerprint is worked out.
-//   - What this host saw is in its book before it is told to others; what the store says of a
-//     host replaces what was known of it.
-//   - News is closed by every request that becomes barred, and the log names it, whether an
-//     event was about it, about another request that had explained its ends, or about none but
-//     the time: the book alone knows which standings have changed, and is asked after each step.
+//   - No fingerprint needs to be computed while the book is empty.
+//   - A record of this host is in its book before it is written to the store. A record from the
+//     store replaces the previous one of that host.
+//   - Every request that becomes barred closes the channel of News and is logged, whether the
+//     cause is a record of the request, a change of another request to which its crashes were
+//     attributed, or the passing of time. For this, each operation ends by publishing the changes
+//     that the book returns.
 package guard
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// linesPerSecond bounds the lines of one process about requests under which
-	// servers ended. They have a bound of their own: an outage that such a request causes
-	// fills the common one with calls that could not be made.
-	linesPerSecond = 20
-	// SweepEvery is how often records are to be looked at whose time may be over.
+	// logLinesPerSecond limits the log lines of a process about crashes and quarantine. The
+	// limit is separate because an outage that a poison request causes exhausts the common one
+	// with failed calls.
+	logLinesPerSecond = 20
+	// SweepEvery is the interval at which expired records should be removed.
 	SweepEvery = 10 * time.Second
 )
 
@@ -31,55 +31,54 @@
 	quarantineCleared = metrics.GetOrCreateCounter("mallowgap_quarantine_cleared_total")
 )
 
-// Keeper lets the store keep records for all hosts.
+// Keeper writes and removes quarantine records in the store, for all hosts.
 type Keeper interface {
 	PutRecord(name string, value []byte)
 	RemoveRecords(names []string)
 }
 
-// Guard keeps requests from servers that end under them. It is safe for concurrent use.
+// Guard tracks poison requests on behalf of a host. It is safe for concurrent use.
 type Guard struct {
-	host   string
-	log    zerolog.Logger
-	keeper Keeper
-	// known is the number of requests that the book knows: while it is 0, no fingerprint is
-	// worked out.
+	host  string
+	log   zerolog.Logger
+	store Keeper
+	// known is the number of requests in the book, readable without mu.
 	known atomic.Int64
 
 	mu   sync.Mutex
 	book *quarantine.Book
-	// witnesses wait for what becomes of servers at which calls broke off.
-	witnesses *quarantine.Witnesses
-	// barred is closed, and made anew, when a request is barred.
-	barred chan struct{}
+	// brokenCalls are calls whose connection broke and whose servers may have crashed.
+	brokenCalls *quarantine.Witnesses
+	// barredSignal is closed and replaced when a request becomes barred.
+	barredSignal chan struct{}
 }
 
-// New returns a guard of a host that knows nothing.
-func New(host string, keeper Keeper, log zerolog.Logger) *Guard {
+// New returns a guard with an empty book for a host.
+func New(host string, store Keeper, log zerolog.Logger) *Guard {
 	return &Guard{
-		host: host, keeper: keeper, log: obs.Bounded(log, linesPerSecond),
-		book: quarantine.NewBook(host), witnesses: quarantine.NewWitnesses(), barred: make(chan struct{}),
+		host: host, store: store, log: obs.Bounded(log, logLinesPerSecond),
+		book: quarantine.NewBook(host), brokenCalls: quarantine.NewWitnesses(), barredSignal: make(chan struct{}),
 	}
 }
 
-// Active reports whether anything is held against some request.
+// Active reports whether the book contains any request. It does not lock.
 func (g *Guard) Active() bool { return g.known.Load() > 0 }
 
-// Standing returns what is to be done with a request.
+// Standing returns the standing of a request.
 func (g *Guard) Standing(f quarantine.Fingerprint) quarantine.Standing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.Standing(f)
 }
 
-// VerdictBy returns until when another query may have a suspect on trial.
+// VerdictBy returns the time until which another query may have a suspect on trial.
 func (g *Guard) VerdictBy(f quarantine.Fingerprint) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.VerdictBy(f)
 }
 
-// Refused counts that a barred request is turned away, and returns what is known of it.
+// Refused counts a refusal of a barred request, and returns the summary of the request.
 func (g *Guard) Refused(f quarantine.Fingerprint) quarantine.Summary {
 	quarantineRefused.Inc()
 	g.mu.Lock()
@@ -87,37 +86,39 @@
 	return g.book.Summary(f)
 }
 
-// News returns what is closed when a request is barred.
+// News returns a channel that is closed when the next request becomes barred.
 func (g *Guard) News() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.barred
+	return g.barredSignal
 }
 
-// DueTrial returns the name of the trial of a barred request that is due, if one is.
+// DueTrial returns the name under which the next trial of a barred request must be claimed, and
+// whether the trial is due.
 func (g *Guard) DueTrial(f quarantine.Fingerprint, versions []string, now time.Time) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.DueTrial(f, versions, now)
 }
 
-// tell lets all know how standings have changed: calls under way of requests that are barred end,
-// and a line says so of each, whether an event was about that request, about another one that
-// explained its ends, or about none but the time. Callers hold the lock.
-func (g *Guard) tell(by string) {
+// publishChanges logs the pending changes of the book and signals each request that becomes barred,
+// so that its calls in flight end. source names the origin of the changes in the log. The caller
+// must hold g.mu.
+func (g *Guard) publishChanges(source string) {
 	g.known.Store(int64(g.book.Len()))
 	for _, c := range g.book.Changes() {
 		if c.Now.Standing == quarantine.Barred {
-			close(g.barred)
-			g.barred = make(chan struct{})
+			close(g.barredSignal)
+			g.barredSignal = make(chan struct{})
 		}
-		g.logChange(c, by)
+		g.logChange(c, source)
 	}
 }
 
-func (g *Guard) logChange(c quarantine.Change, by string) {
+// logChange logs a change of a standing.
+func (g *Guard) logChange(c quarantine.Change, source string) {
 	s := c.Now
-	e := g.log.Warn().Stringer("fingerprint", s.Fingerprint).Stringer("standing", s.Standing).Stringer("before", c.Before).Str("told_by", by).
+	e := g.log.Warn().Stringer("fingerprint", s.Fingerprint).Stringer("standing", s.Standing).Stringer("before", c.Before).Str("told_by", source).
 		Int("servers_ended", s.Ended).Strs("servers", s.Servers).Strs("seen_by", s.Hosts).Str("what", s.What)
 	if len(s.ExplainedBy) > 0 {
 		e = e.Stringers("explained_by", stringers(s.ExplainedBy))
@@ -125,86 +126,88 @@
 	e.Msg("standing of a request under which servers ended has changed")
 }
 
-func stringers(prints []quarantine.Fingerprint) []fmt.Stringer {
+// stringers converts fingerprints to the type that zerolog takes.
+func stringers(fingerprints []quarantine.Fingerprint) []fmt.Stringer {
 	var all []fmt.Stringer
-	for _, f := range prints {
+	for _, f := range fingerprints {
 		all = append(all, f)
 	}
 	return all
 }
 
-// Note takes in what this host saw of a request, lets all others know, and returns its
-// standing.
+// Note adds what this host observed of a request to its record, writes the record to the store, and
+// returns the standing of the request.
 func (g *Guard) Note(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) quarantine.Standing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.note(f, seen, now)
+	g.noteLocked(f, seen, now)
 	return g.book.Standing(f)
 }
 
-// note is Note for callers that hold the lock.
-func (g *Guard) note(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) {
+// noteLocked implements Note. The caller must hold g.mu.
+func (g *Guard) noteLocked(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) {
 	record := g.book.Note(f, seen, now)
-	g.tell(g.host)
-	g.put(f, record)
+	g.publishChanges(g.host)
+	g.storeRecord(f, record)
 }
 
-// Broke takes in that a call of a query that nobody served broke off: the entry of its server
-// may yet tell that it ended.
+// Broke records that the connection of a call broke, in a query that no server served. The registry
+// entry of the server may show later that it crashed.
 func (g *Guard) Broke(c quarantine.BrokenCall) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.witnesses.Broke(c)
+	g.brokenCalls.Broke(c)
 }
 
-// ServerEnded takes in that a process of a server ended without having drained: the calls that
-// broke off there not long before ended with it.
+// ServerEnded records that the process of a server ended without draining. The recent broken calls
+// to it are counted as crashes.
 func (g *Guard) ServerEnded(process, server, service string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, c := range g.witnesses.Ended(process, now) {
-		g.LogEnd(c.Fingerprint, "", server, service, now.Sub(c.At), "a call broke off, and its entry tells that it ended", c.End)
-		g.note(c.Fingerprint, c.Record(), now)
+	for _, c := range g.brokenCalls.Ended(process, now) {
+		g.LogEnd(c.Fingerprint, "", server, service, now.Sub(c.At), "the connection broke, and the registry entry shows that the server ended", c.End)
+		g.noteLocked(c.Fingerprint, c.Record(), now)
 	}
 }
 
-// Clear takes in that a server served a request.
+// Clear records that a server served a request, and removes the obsolete records of other hosts
+// from the store.
 func (g *Guard) Clear(f quarantine.Fingerprint, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	own, over, known := g.book.Clear(f, now)
+	own, obsolete, known := g.book.Clear(f, now)
 	if !known {
 		return
 	}
 	quarantineCleared.Inc()
-	g.tell(g.host)
-	g.put(f, own)
-	g.keeper.RemoveRecords(over)
+	g.publishChanges(g.host)
+	g.storeRecord(f, own)
+	g.store.RemoveRecords(obsolete)
 }
 
-// put lets the store keep the record of this host. Callers hold the lock.
-func (g *Guard) put(f quarantine.Fingerprint, own quarantine.Record) {
+// storeRecord writes the record of this host to the store. The caller must hold g.mu.
+func (g *Guard) storeRecord(f quarantine.Fingerprint, own quarantine.Record) {
 	value, err := proto.Marshal(encodeRecord(own))
 	if err != nil {
-		g.log.Error().Err(err).Stringer("fingerprint", f).Msg("a record cannot be encoded: other hosts do not learn of it")
+		g.log.Error().Err(err).Stringer("fingerprint", f).Msg("quarantine record cannot be encoded: other hosts do not receive it")
 		return
 	}
-	g.keeper.PutRecord(quarantine.RecordName(f, g.host), value)
+	g.store.PutRecord(quarantine.RecordName(f, g.host), value)
 }
 
-// Learn takes in an entry of the store.
+// Learn applies an entry of the store. An invalid one is logged and ignored.
 func (g *Guard) Learn(e control.Entry, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	name, err := LearnRecord(g.book, e, now)
 	if err != nil {
-		g.log.Warn().Err(err).Str("entry", e.Name).Msg("entry about a request in quarantine cannot be read; it is left out")
+		g.log.Warn().Err(err).Str("entry", e.Name).Msg("quarantine entry is invalid and ignored")
 		return
 	}
-	g.tell(name.Host)
+	g.publishChanges(name.Host)
 }
 
-// LearnRecord takes an entry of the store into a book, and returns its name.
+// LearnRecord applies an entry of the store to a book, and returns the parsed name of the entry.
 func LearnRecord(book *quarantine.Book, e control.Entry, now time.Time) (quarantine.Name, error) {
 	name, err := quarantine.ParseName(e.Name)
 	if err != nil {
@@ -218,25 +221,26 @@
 	default:
 		var record relaypb.QuarantineRecord
 		if err := proto.Unmarshal(e.Value, &record); err != nil {
-			return name, fmt.Errorf("decode the record %s: %w", e.Name, err)
+			return name, fmt.Errorf("decode quarantine record %s: %w", e.Name, err)
 		}
 		book.Learn(name.Fingerprint, name.Host, decodeRecord(&record), now)
 	}
 	return name, nil
 }
 
-// Sweep forgets what is over. Only a host that reads the store itself removes it there.
+// Sweep removes expired requests from the book, and from the store if this host reads the store
+// itself.
 func (g *Guard) Sweep(readsStore bool, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	names := g.book.Expired(now)
-	g.tell("time")
+	g.publishChanges("time")
 	if len(names) == 0 {
 		return
 	}
-	g.log.Info().Int("records", len(names)).Bool("removed_here", readsStore).Msg("records of requests in quarantine are over")
+	g.log.Info().Int("records", len(names)).Bool("removed_here", readsStore).Msg("quarantine records expired")
 	if readsStore {
-		g.keeper.RemoveRecords(names)
+		g.store.RemoveRecords(names)
 	}
 }
 
@@ -251,7 +255,7 @@
 	}
 }
 
-// LogEnd writes the line about a server that ended with a request.
+// LogEnd logs and counts the crash of a server while it ran a request.
 func (g *Guard) LogEnd(f quarantine.Fingerprint, request, server, service string, elapsed time.Duration, reason string, end quarantine.End) {
 	serversEnded.Inc()
 	g.log.Warn().Str("request", request).Stringer("fingerprint", f).Str("server", server).Str("service", service).Str("version", end.Version).
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -118,15 +118,15 @@
 TestQueryThatEndsServersIsTakenFromTheOthers@quarantine/suspicion.go@s/cancelThreshold = 2/cancelThreshold = 2000/@a query is not taken from the servers that still run it
 TestStanding@quarantine/standing.go@s/case len\(servers\) >= LeastEnds && len\(trials\) >= LeastTrials:/case len(servers) >= LeastEnds:/@servers that ended are counted without a trial
 TestBarredRequestIsTriedAgain@quarantine/book.go@s/now.Sub\(h.barredSince\) >= probation/true/@a trial is due at once
-TestBarOutlivesTheHosts|TestEveryKindOfRequestIsBarred@internal/guard/guard.go@s/g.keeper.PutRecord\(/_ = func(string, []byte) {}; func(string, []byte) {}(/@what a host saw is not told
+TestBarOutlivesTheHosts|TestEveryKindOfRequestIsBarred@internal/guard/guard.go@s/g.store.PutRecord\(/_ = func(string, []byte) {}; func(string, []byte) {}(/@what a host saw is not told
 TestLogTellsWithWhichRequestAServerEnded@internal/gateway/send.go@s/out.ended = g.edges.Leafs.Ended\(ctx, c.backend.Server\)/out.ended = true/@each broken connection counts as the end of a server
-TestServersThatAreBackAtOnceAreKnownToHaveEnded@internal/guard/guard.go@s/range g.witnesses.Ended\(process, now\) \{/range g.witnesses.Ended(process, now)[:0] {/@entries are no witnesses of an end
+TestServersThatAreBackAtOnceAreKnownToHaveEnded@internal/guard/guard.go@s/range g.brokenCalls.Ended\(process, now\) \{/range g.brokenCalls.Ended(process, now)[:0] {/@entries are no witnesses of an end
 TestHostThatWakesAloneIsReadyAgain@internal/control/wake.go@s/\ts.doubted = now\n//@a host that wakes does not doubt what it knows
 TestRequestInHandEndsWithASuspension@internal/gateway/sleep.go@s/q.end, q.due, q.offerBy = q.end.Add\(-d\)/q.end, q.due, q.offerBy = q.end.Add(0)/; s/\tq.state.Slept\(d\)\n//@a request in hand does not count a suspension
 TestCrashIsAttributedToOneRequest@quarantine/standing.go@s/if other.Standing == Barred && other.outweighs\(s\) \{/if false {/@an end counts for every request that saw it
 TestStanding@quarantine/standing.go@s/if !h.servedAt.IsZero\(\) \{\n\t\ts.Standing = min/if false {\n\t\ts.Standing = min/@what was served is barred all the same
-TestBarThatBeginsWithTimeIsNews@internal/guard/guard.go@s/g.tell\("time"\)/g.known.Store(int64(g.book.Len()))/@a bar that begins with time is told to nobody
-TestBarThatBeginsAsAnotherEndsIsNews@quarantine/standing.go@s/\n\tb.updateRelated\([a-z.]+\)//g@a bar that begins as another ends is told to nobody
+TestBarAfterServedGraceIsPublished@internal/guard/guard.go@s/g.publishChanges\("time"\)/g.known.Store(int64(g.book.Len()))/@a bar that begins with time is told to nobody
+TestBarFollowingRemovalOfAnotherIsPublished@quarantine/standing.go@s/\n\tb.updateRelated\([a-z.]+\)//g@a bar that begins as another ends is told to nobody
 TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.heardNews\(\)/q.trial.news = nil/@queries under way hear of no bar
 TestTrialsLeaveShardsEnoughToServeOthers@internal/gateway/trial.go@s/running := q.running\(\)/running := t.shard >= 0 && q.state.Running(t.shard) > 0/@a trial begins beside other calls
 TestQueryOfWhichNothingCameSendsNoCopies@internal/gateway/attempt.go@s/need.Hedge && q.holdsCopies\(now\)/false/@copies go out before any shard has answered
