--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -69,7 +69,7 @@
 TestHostsLearnOfSlowServersFromTheRelay@internal/gateway/send.go@s/\trc.applyReport\(reply, now\)\n//@what relays say of servers is not used
 TestDarkServerIsAvoided@internal/gateway/send.go@s/if canceled \{\n\t\treturn callCanceled\n\t\}\n\tout.unreachable/if canceled {\n\t\treturn callInconclusive\n\t}\n\tout.unreachable/@a connection that was given up says nothing
 TestReplicaSilentFromTheStartIsAvoided@replica/observe.go@s/if elapsed > leaf.latency \{/if elapsed > leaf.latency && leaf.latency > 0 {/@a server that never answered stays unknown
-TestOwnFreshObservationGoesBeforeAReport@replica/report.go@s/now.Sub\(leaf.observed\) > ownLife/true/@a report ends fresh observations
+TestRecentObservationTakesPrecedenceOverReport@replica/report.go@s/now.Sub\(leaf.lastObserved\) > localObservationTTL/true/@a report ends fresh observations
 TestTrimmedBatchesHoldTheGreatest@fanout/trimmer.go@s/Top\(t.top, t.best, records\)/Top(t.top, records, records)/@records sent once raise the floor twice
 TestRequestWaitsForTheStartOfItsHost@internal/gateway/serve.go@s/startupWait = 150/startupWait = 0/@a starting host refuses every request
 TestOversizedRequestsAreRefused@internal/gateway/serve.go@s/r.HeaderBytes > limits.HeaderBytes/false/@headers of any size are taken
@@ -79,12 +79,12 @@
 TestForgottenConnectionsAreNotUsed@internal/peer/client.go@s/_ = conn.Close\(\) \/\/ Nothing/defer c.pool.Put(address, conn) \/\/ Nothing/@silent connections are kept
 TestHostsDoNotGoBackToOneThatLostTheStore@internal/control/follow.go@s/now.Add\(leaderCooldown \+ rand.N\(leaderCooldown\/2\)\)/now/@a host that lost the store is followed again at once
 TestEntriesArePacked@internal/control/wire.go@s/p.known == known && p.changed == u.changed/p.known == known/@entries of an older state are sent
-TestEjectedReplicaIsNotVouchedFor@replica/report.go@s/silent \|\| o.Ejected/silent/@a server that fails at once is vouched for
+TestEjectedReplicaIsReportedSlow@replica/report.go@s/silent \|\| o.Ejected/silent/@a server that fails at once is reported as fast
 TestFollowerOfACutLeaderLearnsAfterACompaction@internal/control/follow.go@s/if errors.Is\(err, ErrCompacted\) \{/if false {/@a compacted history is taken for a lost store
 TestThreeTimesTheCallers@internal/gateway/serve.go@s/if refused, ok := q.admit\(time.Now\(\)\); !ok \{/if refused, ok := q.admit(time.Now()); !ok && false {/@nothing is refused in an overload
 TestRelayTellsRefusalsAtOnce@internal/gateway/relay.go@s/refusals = time.After\(refusalReplyDelay\)/refusals = nil/@refusals are told with the parts
-TestQueueIsRememberedBetweenRareReports@replica/wait.go@s/halfLifeGaps\*l.queueGap/0*l.queueGap/@queues are forgotten between rare reports
-TestReplicaThatLosesAnswersIsChosenLess@replica/eject.go@s/\tleaf.lost \+= smoothing \* \(1 - leaf.lost\)\n//@failures do not count in the choice of a server
+TestQueueIsRememberedBetweenRareReports@replica/wait.go@s/halfLifeIntervals\*l.reportInterval/0*l.reportInterval/@queues are forgotten between rare reports
+TestReplicaThatLosesAnswersIsChosenLess@replica/eject.go@s/\tleaf.lossRate \+= ewmaWeight \* \(1 - leaf.lossRate\)\n//@failures do not count in the choice of a server
 TestFloodOfTheLowerRankLeavesTheHigherAlone@admission/gate.go@s/floorShare\*\(1-g.refusedShare\)\*g.offeredWork\(\)\/r.work/0.2/@the floor of a rank grows with what it asks
 TestLateCallersComeLast@admission/gate.go@s/if r.late != ask.Late \{/if false {/@callers that come back late go with the others
 TestWritesDoNotGrowWithTheHosts@internal/control/announce.go@s/if a.delegated.Load\(\) \{/if false {/@hosts that follow another announce themselves
@@ -114,19 +114,19 @@
 TestFreeReplicaIsNotWaitedFor@replica/set.go@s/ \|\| leaf.Slots.Free\(now\) \{\n\t\t\tcontinue\n\t\t\}\n\t\tlimit/ {\n\t\t\tcontinue\n\t\t}\n\t\tlimit/@a free replica is waited for
 TestIdleTimeIsNoSilenceOfAServer@internal/gateway/pick.go@s/\tg.set.Acquire\(i, now\)\n/\tb.leaf.Slots.Acquire(now)\n/@the time before a call counts as silence
 TestHostThatIsCutOffRefusesWhatItCannotServe@internal/gateway/reach.go@s/return lost > 0/return false/@a host that is cut off holds what it cannot serve
-TestRequestThatEndsServersIsTurnedAway@quarantine/suspicion.go@s/return s.served == 0 && s.suspected \|\| s.seen.Ended > s.served/return false/@a query under which servers end is not held back
-TestQueryThatEndsServersIsTakenFromTheOthers@quarantine/suspicion.go@s/stopAfter = 2/stopAfter = 2000/@a query is not taken from the servers that still run it
+TestRequestThatEndsServersIsTurnedAway@quarantine/suspicion.go@s/return s.served == 0 && s.suspected \|\| s.unreported.Ended > s.served/return false/@a query under which servers end is not held back
+TestQueryThatEndsServersIsTakenFromTheOthers@quarantine/suspicion.go@s/cancelThreshold = 2/cancelThreshold = 2000/@a query is not taken from the servers that still run it
 TestStanding@quarantine/standing.go@s/case len\(servers\) >= LeastEnds && len\(trials\) >= LeastTrials:/case len(servers) >= LeastEnds:/@servers that ended are counted without a trial
-TestBarredRequestIsTriedAgain@quarantine/book.go@s/now.Sub\(c.barredSince\) >= probation/true/@a trial is due at once
-TestBarOutlivesTheHosts|TestEveryKindOfRequestIsBarred@internal/guard/guard.go@s/g.keeper.PutRecord\(/_ = func(string, []byte) {}; func(string, []byte) {}(/@what a host saw is not told
+TestBarredRequestIsTriedAgain@quarantine/book.go@s/now.Sub\(h.barredSince\) >= probation/true/@a trial is due at once
+TestBarOutlivesTheHosts|TestEveryKindOfRequestIsBarred@internal/guard/guard.go@s/g.store.PutRecord\(/_ = func(string, []byte) {}; func(string, []byte) {}(/@what a host saw is not told
 TestLogTellsWithWhichRequestAServerEnded@internal/gateway/send.go@s/out.serverEnded = g.edges.Leafs.Ended\(ctx, c.backend.Server\)/out.serverEnded = true/@each broken connection counts as the end of a server
-TestServersThatAreBackAtOnceAreKnownToHaveEnded@internal/guard/guard.go@s/range g.witnesses.Ended\(process, now\) \{/range g.witnesses.Ended(process, now)[:0] {/@entries are no witnesses of an end
+TestServersThatAreBackAtOnceAreKnownToHaveEnded@internal/guard/guard.go@s/range g.brokenCalls.Ended\(process, now\) \{/range g.brokenCalls.Ended(process, now)[:0] {/@entries are no witnesses of an end
 TestHostThatWakesAloneIsReadyAgain@internal/control/wake.go@s/\ts.unconfirmedSince = now\n//@a host that wakes does not doubt what it knows
 TestRequestInHandEndsWithASuspension@internal/gateway/sleep.go@s/q.end, q.due, q.dispatchBy = q.end.Add\(-added\)/q.end, q.due, q.dispatchBy = q.end.Add(0)/; s/\tq.state.Slept\(added\)\n//@a request in hand does not count a suspension
-TestEndsArePutDownToOneRequest@quarantine/standing.go@s/if other.Standing == Barred && other.outweighs\(s\) \{/if false {/@an end counts for every request that saw it
-TestStanding@quarantine/standing.go@s/if !c.served.IsZero\(\) \{\n\t\ts.Standing = min/if false {\n\t\ts.Standing = min/@what was served is barred all the same
-TestBarThatBeginsWithTimeIsNews@internal/guard/guard.go@s/g.tell\("time"\)/g.known.Store(int64(g.book.Len()))/@a bar that begins with time is told to nobody
-TestBarThatBeginsAsAnotherEndsIsNews@quarantine/standing.go@s/\n\tb.settleExplained\([a-z.]+\)//g@a bar that begins as another ends is told to nobody
+TestCrashIsAttributedToOneRequest@quarantine/standing.go@s/if other.Standing == Barred && other.outweighs\(s\) \{/if false {/@an end counts for every request that saw it
+TestStanding@quarantine/standing.go@s/if !h.servedAt.IsZero\(\) \{\n\t\ts.Standing = min/if false {\n\t\ts.Standing = min/@what was served is barred all the same
+TestBarAfterServedGraceIsPublished@internal/guard/guard.go@s/g.publishChanges\("time"\)/g.known.Store(int64(g.book.Len()))/@a bar that begins with time is told to nobody
+TestBarFollowingRemovalOfAnotherIsPublished@quarantine/standing.go@s/\n\tb.updateRelated\([a-z.]+\)//g@a bar that begins as another ends is told to nobody
 TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.heardNews\(\)/q.trial.news = nil/@queries under way hear of no bar
 TestTrialsLeaveShardsEnoughToServeOthers@internal/gateway/trial.go@s/running := q.running\(\)/running := t.shard >= 0 && q.state.Running(t.shard) > 0/@a trial begins beside other calls
 TestQueryOfWhichNothingCameSendsNoCopies@internal/gateway/attempt.go@s/need.Hedge && q.holdsHedges\(now\)/false/@copies go out before any shard has answered
