--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -73,7 +73,7 @@
 TestTrimmedBatchesHoldTheGreatest@fanout/trimmer.go@s/Top\(t.top, t.best, records\)/Top(t.top, records, records)/@records sent once raise the floor twice
 TestRequestWaitsForTheStartOfItsHost@internal/gateway/serve.go@s/startWait = 150/startWait = 0/@a starting host refuses every request
 TestOversizedRequestsAreRefused@internal/gateway/serve.go@s/r.HeaderBytes > limits.HeaderBytes/false/@headers of any size are taken
-TestBodyIsReadUpToTheConfiguredLimit@platform/caller.go@s/most := limits.BodyBytes/most := 0/@a body is read beyond the limit
+TestBodyIsReadUpToTheConfiguredLimit@platform/caller.go@s/maxBody := limits.BodyBytes/maxBody := 0/@a body is read beyond the limit
 TestBudgetGoesFirstToQueriesThatLackLittle@fanout/extra.go@s/shareStep        = 0.1/shareStep        = 0.0/@all queries take from the budget alike
 TestPackedRepliesComeBack@internal/gateway/relaywire.go@s/(func unpackReply.*?)!= relaypb.Outcome_PART/$1== relaypb.Outcome_NOT_SENT/s@signatures go to results that are no parts
 TestForgottenConnectionsAreNotUsed@internal/peer/client.go@s/_ = conn.Close\(\) \/\/ Nothing/defer c.pool.Put(address, conn) \/\/ Nothing/@silent connections are kept
