--- a/member/doc.go
+++ b/member/doc.go
@@ -1,12 +1,12 @@
-// Package member keeps the list of entry hosts from their heartbeats and the
-// platform's lagging host list, in the manner of SWIM (Das, Gupta and
-// Motivala, 2002): each host probes one member an interval, and changes ride
-// on the probes.
+// Package member maintains the membership of entry hosts with the SWIM protocol
+// (Das, Gupta and Motivala, 2002): each host probes one member per interval, and
+// membership updates are piggybacked on the probes. Peers are first discovered
+// from the platform's host list, which may be out of date.
 //
-// Invariants: of two facts about a host, the one of the higher incarnation
-// wins, and of the same incarnation the graver state, in whatever order they
-// come; a host that hears itself called suspect or dead answers with a higher
-// incarnation; a member is called dead only after it had the time of the
-// suspicion to refute. The cost of one host an interval does not depend on the
-// number of members.
+// Invariants: of two facts about a host, the one with the higher incarnation
+// wins; with equal incarnations, the one with the more severe state wins. The
+// result does not depend on the order of arrival. A host that learns that it is
+// considered suspect or dead refutes this with a higher incarnation. A member is
+// declared dead only after the suspicion timeout, within which it can refute.
+// The cost per host and interval does not depend on the number of members.
 package member
--- a/member/fact.go
+++ b/member/fact.go
@@ -1,16 +1,16 @@
 package member
 
-// State is the state of a member. Graver states have higher numbers.
+// State is the state of a member. More severe states have higher numbers.
 type State int
 
 const (
-	// Alive members answer.
+	// Alive members answer probes.
 	Alive State = iota
-	// Suspect members missed a heartbeat and may still refute it.
+	// Suspect members missed a probe and can still refute the suspicion.
 	Suspect
-	// Leaving members finish what they have and take nothing new.
+	// Leaving members finish the requests in flight and accept no new ones.
 	Leaving
-	// Dead members are gone.
+	// Dead members did not refute a suspicion in time, or have left.
 	Dead
 )
 
@@ -30,12 +30,12 @@
 	}
 }
 
-// Fact is what one host claims about a member.
+// Fact is a claim about the state of a member, as exchanged between hosts.
 type Fact struct {
 	Host    string
 	Address string
 	Domain  string
-	// Incarnation grows with each start of the host, and with each refutation.
+	// Incarnation increases with each start of the host and each refutation.
 	Incarnation uint64
 	State       State
 }
--- a/member/table.go
+++ b/member/table.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// spread is the number of times a change is passed on, for each doubling
-	// of the number of members.
-	spread = 3
-	// maxFacts bounds the facts on one message.
+	// retransmitFactor times the bit length of the number of members is how
+	// often an update is sent.
+	retransmitFactor = 3
+	// maxFacts bounds the facts in one message.
 	maxFacts = 16
-	// reviveEvery is the number of probes after which one goes to a dead
-	// member, by which the halves of a healed partition find each other.
-	reviveEvery = 8
-	// forgetAfter is for how long a dead member is remembered, so that the
-	// lagging host list does not bring it back.
-	forgetAfter = 10 * time.Minute
+	// deadProbeInterval is the number of probes of which one goes to a dead
+	// member, so that the two sides of a healed partition rejoin.
+	deadProbeInterval = 8
+	// deadRetention is how long the tombstone of a dead member is kept, so that
+	// the outdated host list does not add it again.
+	deadRetention = 10 * time.Minute
 )
 
-// Settings are the times of a table.
+// Settings configures a Table.
 type Settings struct {
-	// Suspicion is the time a silent member has to refute.
+	// Suspicion is the time a suspect member has to refute before it is
+	// declared dead.
 	Suspicion time.Duration
 }
 
 type record struct {
 	fact Fact
-	// since is when the state began, as seen here.
-	since time.Time
-	// sent counts how often the fact was passed on.
-	sent   int
-	queued bool
+	// stateSince is when this host first learned of the current state.
+	stateSince time.Time
+	// transmits counts how often the fact was sent.
+	transmits int
+	queued    bool
 }
 
 // Table is one host's view of the members. It is not safe for concurrent use.
@@ -43,16 +44,18 @@
 	rng      *rand.Rand
 	self     Fact
 	records  map[string]*record
-	queue    []*record
-	order    []string
-	probes   int
-	suspects int
-	dead     int
-	version  uint64
-	cached   []Fact
+	// broadcasts are the records still to be sent to other members.
+	broadcasts []*record
+	// probeOrder lists the members not yet probed in this round; the last is next.
+	probeOrder    []string
+	probeCount    int
+	suspectCount  int
+	deadCount     int
+	version       uint64
+	cachedMembers []Fact
 }
 
-// NewTable returns the table of a host that knows only itself.
+// NewTable returns a table that contains only this host.
 func NewTable(self Fact, settings Settings, rng *rand.Rand) *Table {
 	t := &Table{settings: settings, rng: rng, self: self, records: map[string]*record{}}
 	t.enqueue(&record{fact: self})
@@ -62,24 +65,27 @@
 // Self returns the fact about this host.
 func (t *Table) Self() Fact { return t.self }
 
-// Version changes whenever Members would return something else.
+// Version returns a number that increases whenever the result of Members may change.
 func (t *Table) Version() uint64 { return t.version }
 
 // Members returns the facts about this host and all others not known to be
-// dead, in the order of their names. The slice must not be changed.
+// dead, sorted by host name. The caller must not modify the slice.
 func (t *Table) Members() []Fact {
-	if t.cached == nil {
-		t.cached = t.list(func(f Fact) bool { return f.State != Dead })
+	if t.cachedMembers == nil {
+		t.cachedMembers = t.filter(func(f Fact) bool { return f.State != Dead })
 	}
-	return t.cached
+	return t.cachedMembers
 }
 
-// All returns every fact, the dead included, in the order of the names.
+// All returns every fact, including those about dead members, sorted by host
+// name.
 func (t *Table) All() []Fact {
-	return t.list(func(Fact) bool { return true })
+	return t.filter(func(Fact) bool { return true })
 }
 
-func (t *Table) list(keep func(Fact) bool) []Fact {
+// filter returns the fact about this host and all others for which keep returns
+// true, sorted by host name.
+func (t *Table) filter(keep func(Fact) bool) []Fact {
 	facts := make([]Fact, 0, len(t.records)+1)
 	facts = append(facts, t.self)
 	for _, r := range t.records {
@@ -91,39 +97,39 @@
 	return facts
 }
 
-// Probe returns the member to probe next, and false if there is none. Members
-// come in a random order, each once before any comes again.
+// Probe returns the member to probe next, and false if there is none. In each
+// round, all members that are not dead are probed once, in random order.
 func (t *Table) Probe() (Fact, bool) {
-	t.probes++
-	if t.probes%reviveEvery == 0 && t.dead > 0 {
-		if dead, ok := t.anyDead(); ok {
+	t.probeCount++
+	if t.probeCount%deadProbeInterval == 0 && t.deadCount > 0 {
+		if dead, ok := t.randomDead(); ok {
 			return dead, true
 		}
 	}
 	for range 2 {
-		for len(t.order) > 0 {
-			host := t.order[len(t.order)-1]
-			t.order = t.order[:len(t.order)-1]
+		for len(t.probeOrder) > 0 {
+			host := t.probeOrder[len(t.probeOrder)-1]
+			t.probeOrder = t.probeOrder[:len(t.probeOrder)-1]
 			if r := t.records[host]; r != nil && r.fact.State != Dead {
 				return r.fact, true
 			}
 		}
-		t.shuffle()
+		t.refillProbeOrder()
 	}
 	return Fact{}, false
 }
 
-func (t *Table) shuffle() {
+func (t *Table) refillProbeOrder() {
 	for host, r := range t.records {
 		if r.fact.State != Dead {
-			t.order = append(t.order, host)
+			t.probeOrder = append(t.probeOrder, host)
 		}
 	}
-	slices.Sort(t.order)
-	t.rng.Shuffle(len(t.order), func(i, j int) { t.order[i], t.order[j] = t.order[j], t.order[i] })
+	slices.Sort(t.probeOrder)
+	t.rng.Shuffle(len(t.probeOrder), func(i, j int) { t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i] })
 }
 
-func (t *Table) anyDead() (Fact, bool) {
+func (t *Table) randomDead() (Fact, bool) {
 	var dead []Fact
 	for _, r := range t.records {
 		if r.fact.State == Dead {
@@ -137,101 +143,104 @@
 	return dead[t.rng.IntN(len(dead))], true
 }
 
-// Adopt takes in the facts of a whole table, which a joining host was given.
-// They are no news to others and are not passed on.
+// Adopt adds the facts of another host's table when this host joins. Facts about
+// members not yet in the table are not broadcast, as other hosts have them.
 func (t *Table) Adopt(facts []Fact, now time.Time) {
 	for _, f := range facts {
 		if f.Host != t.self.Host && t.records[f.Host] == nil {
-			t.records[f.Host] = &record{fact: f, since: now}
-			t.count(f.State, 1)
-			t.changed()
+			t.records[f.Host] = &record{fact: f, stateSince: now}
+			t.adjustCount(f.State, 1)
+			t.invalidate()
 		} else {
 			t.merge(f, now)
 		}
 	}
 }
 
-// Merge takes facts in and reports whether any was news.
+// Merge applies facts received from other hosts and reports whether any of them
+// changed the table.
 func (t *Table) Merge(facts []Fact, now time.Time) bool {
-	news := false
+	changed := false
 	for _, f := range facts {
 		if t.merge(f, now) {
-			news = true
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
 func (t *Table) merge(f Fact, now time.Time) bool {
 	if f.Host == t.self.Host {
-		return t.mergeSelf(f)
+		return t.refute(f)
 	}
 	old := t.records[f.Host]
 	if old == nil {
-		r := &record{fact: f, since: now}
+		r := &record{fact: f, stateSince: now}
 		t.records[f.Host] = r
-		t.count(f.State, 1)
+		t.adjustCount(f.State, 1)
 		t.enqueue(r)
 		return true
 	}
 	if !f.supersedes(old.fact) {
 		return false
 	}
-	t.count(old.fact.State, -1)
-	t.count(f.State, 1)
+	t.adjustCount(old.fact.State, -1)
+	t.adjustCount(f.State, 1)
 	old.fact = f
-	old.since = now
+	old.stateSince = now
 	t.enqueue(old)
 	return true
 }
 
-// mergeSelf refutes a claim about this host that is not true.
-func (t *Table) mergeSelf(f Fact) bool {
+// refute answers a claim that supersedes this host's own fact by raising the
+// incarnation above that of the claim.
+func (t *Table) refute(f Fact) bool {
 	if !f.supersedes(t.self) {
 		return false
 	}
 	t.self.Incarnation = f.Incarnation + 1
-	t.announceSelf()
+	t.broadcastSelf()
 	return true
 }
 
-func (t *Table) announceSelf() {
-	for _, r := range t.queue {
+func (t *Table) broadcastSelf() {
+	for _, r := range t.broadcasts {
 		if r.fact.Host == t.self.Host {
 			r.fact = t.self
-			r.sent = 0
-			t.changed()
+			r.transmits = 0
+			t.invalidate()
 			return
 		}
 	}
 	t.enqueue(&record{fact: t.self})
 }
 
-func (t *Table) count(s State, by int) {
+func (t *Table) adjustCount(s State, delta int) {
 	switch s {
 	case Suspect:
-		t.suspects += by
+		t.suspectCount += delta
 	case Dead:
-		t.dead += by
+		t.deadCount += delta
 	}
 }
 
 func (t *Table) enqueue(r *record) {
-	r.sent = 0
+	r.transmits = 0
 	if !r.queued {
 		r.queued = true
-		t.queue = append(t.queue, r)
+		t.broadcasts = append(t.broadcasts, r)
 	}
-	t.changed()
+	t.invalidate()
 }
 
-func (t *Table) changed() {
+// invalidate drops the cached member list and increments the version.
+func (t *Table) invalidate() {
 	t.version++
-	t.cached = nil
+	t.cachedMembers = nil
 }
 
-// Failed notes that a member did not answer a probe. An alive member becomes
-// suspect; a leaving one is taken to have left.
+// Failed records that a member did not answer a probe. An alive member becomes
+// suspect; a leaving one is considered to have left and becomes dead.
 func (t *Table) Failed(host string, now time.Time) {
 	r := t.records[host]
 	if r == nil {
@@ -249,49 +258,49 @@
 	t.merge(claim, now)
 }
 
-// Tick ends suspicions whose time is up and forgets members long dead. It
-// returns the facts about members that were found dead.
+// Tick declares members dead whose suspicion has timed out and removes expired
+// tombstones. It returns the facts about the members newly declared dead.
 func (t *Table) Tick(now time.Time) []Fact {
-	if t.suspects == 0 && t.dead == 0 {
+	if t.suspectCount == 0 && t.deadCount == 0 {
 		return nil
 	}
-	var found []Fact
+	var confirmed []Fact
 	for host, r := range t.records {
-		if r.fact.State == Suspect && now.Sub(r.since) >= t.settings.Suspicion {
+		if r.fact.State == Suspect && now.Sub(r.stateSince) >= t.settings.Suspicion {
 			claim := r.fact
 			claim.State = Dead
 			t.merge(claim, now)
-			found = append(found, claim)
+			confirmed = append(confirmed, claim)
 		}
-		if r.fact.State == Dead && now.Sub(r.since) >= forgetAfter {
-			t.count(Dead, -1)
+		if r.fact.State == Dead && now.Sub(r.stateSince) >= deadRetention {
+			t.adjustCount(Dead, -1)
 			delete(t.records, host)
 		}
 	}
-	return found
+	return confirmed
 }
 
-// Leave makes this host a leaving member.
+// Leave marks this host as leaving and broadcasts the change.
 func (t *Table) Leave() {
 	t.self.State = Leaving
-	t.announceSelf()
+	t.broadcastSelf()
 }
 
-// Facts returns the changes to pass on with the next message, those least
-// often passed on first.
+// Facts returns the updates to piggyback on the next message. If more are
+// pending than fit, those sent least often take precedence.
 func (t *Table) Facts() []Fact {
-	limit := spread * bits.Len(uint(len(t.records)+1))
-	n := min(len(t.queue), maxFacts)
-	if len(t.queue) > maxFacts {
-		slices.SortStableFunc(t.queue, func(a, b *record) int { return a.sent - b.sent })
+	limit := retransmitFactor * bits.Len(uint(len(t.records)+1))
+	n := min(len(t.broadcasts), maxFacts)
+	if len(t.broadcasts) > maxFacts {
+		slices.SortStableFunc(t.broadcasts, func(a, b *record) int { return a.transmits - b.transmits })
 	}
 	facts := make([]Fact, 0, n)
-	for _, r := range t.queue[:n] {
+	for _, r := range t.broadcasts[:n] {
 		facts = append(facts, r.fact)
-		r.sent++
+		r.transmits++
 	}
-	t.queue = slices.DeleteFunc(t.queue, func(r *record) bool {
-		if r.sent < limit {
+	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(r *record) bool {
+		if r.transmits < limit {
 			return false
 		}
 		r.queued = false
@@ -300,8 +309,8 @@
 	return facts
 }
 
-// Suspicion returns what the probed host must be told if it is not held to be
-// alive, so that it can refute.
+// Suspicion returns the fact about a host if it is considered suspect or dead.
+// The probe of that host carries it, so that the host can refute it.
 func (t *Table) Suspicion(host string) (Fact, bool) {
 	r := t.records[host]
 	if r == nil || r.fact.State == Alive || r.fact.State == Leaving {
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -40,7 +40,7 @@
 	assert.Equal(t, len(a.Tick(start.Add(2*time.Second))), 1)
 	assert.Equal(t, len(a.Members()), 1)
 	a.Merge([]member.Fact{fact(1)}, start.Add(3*time.Second))
-	assert.Equal(t, stateOf(a, "host-1"), "dead", "the lagging list does not bring it back")
+	assert.Equal(t, stateOf(a, "host-1"), "dead", "an old fact must not revive a dead member")
 	again := fact(1)
 	again.Incarnation++
 	a.Merge([]member.Fact{again}, start.Add(3*time.Second))
@@ -54,10 +54,10 @@
 	a.Merge([]member.Fact{claim}, start)
 	assert.Equal(t, a.Self().State, member.Alive)
 	assert.Assert(t, a.Self().Incarnation > claim.Incarnation)
-	assert.Assert(t, len(a.Facts()) > 0, "the refutation is passed on")
+	assert.Assert(t, len(a.Facts()) > 0, "the refutation must be broadcast")
 }
 
-func TestLeavingMemberThatIsSilentHasLeft(t *testing.T) {
+func TestLeavingMemberIsDeadAfterFailedProbe(t *testing.T) {
 	a := table(0)
 	leaving := fact(1)
 	leaving.State = member.Leaving
@@ -66,16 +66,16 @@
 	assert.Equal(t, stateOf(a, "host-1"), "dead")
 }
 
-// Two tables that got the same facts in any order agree.
+// The resulting table does not depend on the order of the facts.
 func TestMergeCommutes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		one := rapid.Custom(func(rt *rapid.T) member.Fact {
+		generator := rapid.Custom(func(rt *rapid.T) member.Fact {
 			f := fact(rapid.IntRange(1, 3).Draw(rt, "host"))
 			f.Incarnation = uint64(rapid.IntRange(1, 3).Draw(rt, "incarnation"))
 			f.State = member.State(rapid.IntRange(0, 3).Draw(rt, "state"))
 			return f
 		})
-		all := rapid.SliceOfN(one, 1, 20).Draw(rt, "facts")
+		all := rapid.SliceOfN(generator, 1, 20).Draw(rt, "facts")
 		a, b := table(0), table(0)
 		a.Merge(all, start)
 		for _, i := range rapid.Permutation(indices(len(all))).Draw(rt, "order") {
@@ -93,7 +93,7 @@
 	return all
 }
 
-// A round of probes visits each member once.
+// Each round probes every member exactly once.
 func TestProbesVisitAll(t *testing.T) {
 	a := table(0)
 	for i := 1; i < 20; i++ {
@@ -108,7 +108,7 @@
 	assert.Equal(t, len(seen), 19)
 }
 
-// What a joining host is given is no news to others.
+// Facts received when joining are not broadcast, since the other hosts have them.
 func TestAdoptedFactsAreNotPassedOn(t *testing.T) {
 	a := table(0)
 	for range 100 {
@@ -119,7 +119,7 @@
 	assert.Equal(t, len(a.Members()), 3)
 }
 
-func TestDeadIsForgottenAfterAWhile(t *testing.T) {
+func TestDeadMemberExpires(t *testing.T) {
 	a := table(0)
 	dead := fact(1)
 	dead.State = member.Dead
