--- a/config/editor.go
+++ b/config/editor.go
@@ -13,63 +13,64 @@
 )
 
 const (
-	// HeadKey is the key of the head in the store.
+	// HeadKey is the store key of the head.
 	HeadKey = "mallowgap/config/head"
-	// PartPrefix begins the key of every part.
+	// PartPrefix is the prefix of the store keys of parts.
 	PartPrefix = "mallowgap/config/part/"
-	// recentChanges is how many accepted changes the head remembers.
-	recentChanges = 64
-	// firstPause is the first pause between two tries to reach the store; it
-	// doubles up to longestPause.
-	firstPause   = 20 * time.Millisecond
-	longestPause = time.Second
-	// MaxValueBytes is the largest value that the store takes.
+	// maxRecentChanges bounds the IDs of accepted changes kept in the head.
+	maxRecentChanges = 64
+	// initialBackoff is the wait before the first retry of a store call; it doubles
+	// with each retry up to maxBackoff.
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
+	// MaxValueBytes is the largest value that the store accepts, in bytes.
 	MaxValueBytes = 1 << 20
 )
 
-// Value is a value of the store with its version; version 0 is none.
+// Value is a value in the store with its version. Version 0 means that the key
+// does not exist.
 type Value struct {
 	Version uint64
 	Data    []byte
 }
 
-// Store is the part of the platform's key-value service that is needed. After
-// an error, the effect of a write is unknown.
+// Store is the part of the platform's key-value service that this package uses.
+// After an error, a write may or may not have taken effect.
 type Store interface {
 	Get(ctx context.Context, key string) (Value, error)
 	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte) (bool, error)
 }
 
-// ConflictError says that another change came first.
+// ConflictError reports that the configuration is not at the expected revision.
 type ConflictError struct {
 	Expected, Current uint64
 	Changed           []string
 }
 
-// Error names the remedy.
+// Error describes the conflict and how to resolve it.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("revision %d was expected but %d is in force (changed: %v): get the current one, redo the change on it and apply it again",
+	return fmt.Sprintf("revision %d was expected but the current one is %d (changes since: %v): get the current configuration, redo the change on it and apply it again",
 		e.Expected, e.Current, e.Changed)
 }
 
-// ErrUnavailable says that the store cannot be reached and that this call
-// changed nothing. It says nothing of an earlier call for the same change.
-var ErrUnavailable = errors.New("the store cannot be reached and this call changed nothing: apply again later with the same change_id; what is in force stays in force")
+// ErrUnavailable reports that the store is unreachable and that this call changed
+// nothing. An earlier call for the same change may still have taken effect.
+var ErrUnavailable = errors.New("the store is unreachable and this call changed nothing: apply again later with the same change_id; the current configuration is kept")
 
-// ErrUnknown says that a change was sent and its fate is not known.
-var ErrUnknown = errors.New("the change was sent but its fate is not known: apply again with the same change_id to learn it")
+// ErrUnknown reports that a change was sent to the store but its outcome is unknown.
+var ErrUnknown = errors.New("the change was sent but its outcome is unknown: apply again with the same change_id to find out")
 
-// PartKey returns the store's key of a part.
+// PartKey returns the store key of a part.
 func PartKey(d Digest) string { return fmt.Sprintf("%s%x", PartPrefix, d[:]) }
 
-// Editor makes changes in the store. It has no state of its own.
+// Editor changes the configuration in the store. It keeps no state between calls.
 type Editor struct {
 	Store Store
-	// Sleep waits, or returns early with the error of ctx.
+	// Sleep waits for d, or returns the error of ctx if that ends first.
 	Sleep func(ctx context.Context, d time.Duration) error
 }
 
-// Sleep waits for d on the wall clock (or that of a synctest bubble).
+// Sleep waits for d, or returns the error of ctx if that ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -94,16 +95,16 @@
 	return head, v.Version, nil
 }
 
-// DecodeHead reads a head from a value of the store.
+// DecodeHead decodes a head from its value in the store.
 func DecodeHead(v Value) (*configpb.Head, error) {
 	head := &configpb.Head{}
 	if err := proto.Unmarshal(v.Data, head); err != nil {
-		return nil, fmt.Errorf("the head in the store cannot be read: %w: check that all hosts run the same version", err)
+		return nil, fmt.Errorf("decode the configuration head: %w: check that all hosts run the same version", err)
 	}
 	return head, nil
 }
 
-// ReadParts returns the named parts from the store.
+// ReadParts reads parts from the store. Parts that do not exist are omitted.
 func ReadParts(ctx context.Context, store Store, digests []Digest) (Parts, error) {
 	parts := Parts{}
 	for _, d := range digests {
@@ -118,13 +119,13 @@
 	return parts, nil
 }
 
-// Apply makes next the configuration that follows revision expect, and returns
-// the revision it got. It returns a *InvalidError, a *ConflictError,
-// ErrUnavailable or ErrUnknown. The same changeID is the same change, however
-// often and through however many hosts it is applied.
+// Apply stores next as the successor of revision expect and returns its revision.
+// Errors are an *InvalidError, a *ConflictError, ErrUnavailable or ErrUnknown.
+// Apply is idempotent by changeID, also across hosts: a change that was accepted
+// before returns the revision it was given then.
 func (e *Editor) Apply(ctx context.Context, expect uint64, changeID string, next *configpb.Config) (uint64, error) {
 	if changeID == "" {
-		return 0, &InvalidError{Faults: []string{"change_id is empty: give the change a unique name"}}
+		return 0, &InvalidError{Faults: []string{"change_id is empty: set a unique name for the change"}}
 	}
 	if err := Validate(next); err != nil {
 		return 0, err
@@ -133,11 +134,11 @@
 	if err != nil {
 		return 0, fmt.Errorf("%w (%v)", ErrUnavailable, err)
 	}
-	if revision, done := acceptedAs(head, changeID); done {
+	if revision, ok := acceptedRevision(head, changeID); ok {
 		return revision, nil
 	}
 	if head.GetRevision() != expect {
-		return 0, passedBy(expect, head)
+		return 0, staleRevisionError(expect, head)
 	}
 	encoded, err := e.prepare(ctx, head, changeID, next)
 	if err != nil {
@@ -146,7 +147,7 @@
 	return e.swap(ctx, expect, version, changeID, encoded)
 }
 
-// prepare writes the parts of next and returns the encoding of its head.
+// prepare writes the parts of next to the store and returns its encoded head.
 func (e *Editor) prepare(ctx context.Context, head *configpb.Head, changeID string, next *configpb.Config) ([]byte, error) {
 	current, err := e.load(ctx, head)
 	if err != nil {
@@ -163,8 +164,8 @@
 		return nil, err
 	}
 	nextHead.RecentChanges = append(slices.Clone(head.GetRecentChanges()), changeID)
-	if extra := len(nextHead.RecentChanges) - recentChanges; extra > 0 {
-		nextHead.RecentChanges = nextHead.RecentChanges[extra:]
+	if excess := len(nextHead.RecentChanges) - maxRecentChanges; excess > 0 {
+		nextHead.RecentChanges = nextHead.RecentChanges[excess:]
 	}
 	if err := e.writeParts(ctx, head, parts); err != nil {
 		return nil, err
@@ -187,8 +188,8 @@
 	return Join(head, parts)
 }
 
-// writeParts writes the parts that the old head does not name. A part that is
-// there already is the same part.
+// writeParts writes the parts that the old head does not reference. A part that
+// already exists has the same content, since its key is its digest.
 func (e *Editor) writeParts(ctx context.Context, old *configpb.Head, parts Parts) error {
 	known := map[Digest]bool{}
 	if old.GetRevision() > 0 {
@@ -205,9 +206,9 @@
 			continue
 		}
 		if len(b) > MaxValueBytes {
-			return &InvalidError{Faults: []string{fmt.Sprintf("a part has %d bytes and the store takes %d: split the service", len(b), MaxValueBytes)}}
+			return &InvalidError{Faults: []string{fmt.Sprintf("a part has %d bytes but the store accepts at most %d: split the service", len(b), MaxValueBytes)}}
 		}
-		err := e.persist(ctx, func() error {
+		err := e.retry(ctx, func() error {
 			_, err := e.Store.CompareAndSwap(ctx, PartKey(d), 0, b)
 			return err
 		})
@@ -218,28 +219,29 @@
 	return nil
 }
 
-// persist repeats a call until it succeeds or ctx ends.
-func (e *Editor) persist(ctx context.Context, call func() error) error {
-	pause := firstPause
+// retry repeats a call with exponential backoff until it succeeds or ctx ends, and
+// returns the last error.
+func (e *Editor) retry(ctx context.Context, call func() error) error {
+	backoff := initialBackoff
 	for {
 		err := call()
 		if err == nil {
 			return nil
 		}
-		if e.Sleep(ctx, pause) != nil {
+		if e.Sleep(ctx, backoff) != nil {
 			return err
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// swap moves the head. While the fate of the write is unknown it sends the
-// very same write again: either it lands now, or the head has moved, and then
-// the head itself tells whether it was moved by this change. A write still on
-// its way expects the old version and can no longer land.
+// swap replaces the head by compare-and-swap. While the outcome of the write is
+// unknown, it repeats the identical write: either this succeeds, or the head has
+// changed and its list of recent changes shows whether this change was accepted.
+// A delayed duplicate expects the old version and cannot succeed any more.
 func (e *Editor) swap(ctx context.Context, expect, version uint64, changeID string, encoded []byte) (uint64, error) {
 	swapped := false
-	err := e.persist(ctx, func() error {
+	err := e.retry(ctx, func() error {
 		var err error
 		swapped, err = e.Store.CompareAndSwap(ctx, HeadKey, version, encoded)
 		return err
@@ -251,37 +253,39 @@
 		return expect + 1, nil
 	}
 	var head *configpb.Head
-	err = e.persist(ctx, func() error {
+	err = e.retry(ctx, func() error {
 		var err error
 		var now uint64
 		head, now, err = ReadHead(ctx, e.Store)
 		if err == nil && now == version {
-			return errors.New("the store answered with a stale head")
+			return errors.New("the store returned a stale head")
 		}
 		return err
 	})
 	if err != nil {
 		return 0, fmt.Errorf("%w (%v)", ErrUnknown, err)
 	}
-	if revision, done := acceptedAs(head, changeID); done {
+	if revision, ok := acceptedRevision(head, changeID); ok {
 		return revision, nil
 	}
-	return 0, passedBy(expect, head)
+	return 0, staleRevisionError(expect, head)
 }
 
-// passedBy is the error for a change that a head, moved on from the expected
-// revision, does not name. Once the head has moved on by more changes than it
-// names, the change may have been among them.
-func passedBy(expect uint64, head *configpb.Head) error {
-	if head.GetRevision() > expect+recentChanges {
-		return fmt.Errorf("%w, or compare with the configuration in force: %d changes came since, more than are remembered",
+// staleRevisionError returns the error for a change whose expected revision is not
+// the current one and which is not among the recent changes of head. If more
+// changes were made since than the head keeps, the change may have been one of
+// them, so that its outcome is unknown.
+func staleRevisionError(expect uint64, head *configpb.Head) error {
+	if head.GetRevision() > expect+maxRecentChanges {
+		return fmt.Errorf("%w, or compare with the current configuration: %d changes were made since, more than the head keeps",
 			ErrUnknown, head.GetRevision()-expect)
 	}
 	return newConflict(expect, head)
 }
 
-// acceptedAs returns the revision that a change got, if the head remembers it.
-func acceptedAs(head *configpb.Head, changeID string) (uint64, bool) {
+// acceptedRevision returns the revision of a change if it is among the recent
+// changes of head.
+func acceptedRevision(head *configpb.Head, changeID string) (uint64, bool) {
 	recent := head.GetRecentChanges()
 	i := slices.Index(recent, changeID)
 	if i < 0 {
--- a/config/editor_test.go
+++ b/config/editor_test.go
@@ -36,7 +36,7 @@
 	return e.Apply(ctx, expect, id, sample(id))
 }
 
-func TestApplySettlesLostReply(t *testing.T) {
+func TestApplyRecoversFromLostReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platformfake.New()
 		p.LoseReplies(config.HeadKey, 1)
@@ -69,8 +69,8 @@
 	})
 }
 
-// A change applied again after more changes than the head remembers may be one
-// of those that were forgotten; it must not be called a conflict.
+// A change that is applied again after more changes than the head keeps may have
+// been accepted before, so it must not be reported as a conflict.
 func TestApplyForgottenChangeIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platformfake.New()
@@ -93,7 +93,7 @@
 	_, err := (&config.Editor{Store: p, Sleep: config.Sleep}).Apply(context.Background(), 0, "a", bad)
 	var invalid *config.InvalidError
 	assert.Assert(t, errors.As(err, &invalid))
-	assert.Equal(t, len(invalid.Faults), 2, "all faults at once: %v", invalid.Faults)
+	assert.Equal(t, len(invalid.Faults), 2, "all faults must be reported at once: %v", invalid.Faults)
 	assert.Equal(t, p.Calls(), 0)
 }
 
@@ -106,7 +106,7 @@
 		next.Services[0].Shards[0].Name = "everything"
 		e := editor(p)
 		_, err = e.Apply(context.Background(), 1, "b", next)
-		assert.ErrorContains(t, err, "raise it")
+		assert.ErrorContains(t, err, "increase the epoch")
 	})
 }
 
@@ -117,9 +117,9 @@
 		c.Revision = revision
 		head, parts, err := config.Split(c)
 		assert.NilError(t, err)
-		taken, err := h.Offer(head, parts)
+		applied, err := h.Offer(head, parts)
 		assert.NilError(t, err)
-		assert.Equal(t, taken, revision != 2)
+		assert.Equal(t, applied, revision != 2)
 	}
 	assert.Equal(t, h.Revision(), uint64(3))
 }
--- a/config/holder.go
+++ b/config/holder.go
@@ -6,36 +6,36 @@
 	"github.com/mallowgap/mallowgap/api/configpb"
 )
 
-// Holder holds the configuration in force at one host. It is not safe for
-// concurrent use; the configurations that it returns are never changed.
+// Holder holds the current configuration of one host. It is not safe for
+// concurrent use; the configurations it returns are never modified.
 type Holder struct {
 	head   *configpb.Head
 	parts  Parts
 	config *configpb.Config
 }
 
-// NewHolder returns a holder with nothing in force.
+// NewHolder returns a holder with an empty configuration at revision 0.
 func NewHolder() *Holder {
 	return &Holder{head: &configpb.Head{}, parts: Parts{}, config: &configpb.Config{}}
 }
 
-// Revision returns the revision in force; 0 is none.
+// Revision returns the current revision, or 0 if no configuration was applied.
 func (h *Holder) Revision() uint64 { return h.head.GetRevision() }
 
-// Head returns the head in force.
+// Head returns the current head. The caller must not modify it.
 func (h *Holder) Head() *configpb.Head { return h.head }
 
-// Config returns the configuration in force.
+// Config returns the current configuration. The caller must not modify it.
 func (h *Holder) Config() *configpb.Config { return h.config }
 
-// Part returns a part of the configuration in force.
+// Part returns the encoded part with digest d of the current configuration.
 func (h *Holder) Part(d Digest) ([]byte, bool) {
 	b, ok := h.parts[d]
 	return b, ok
 }
 
-// Lacking returns the digests of the parts to be fetched before a head can be
-// taken. A head that is not newer than the one in force needs none.
+// Lacking returns the digests of the parts that must be fetched before head can
+// be passed to Offer. It returns none if head is not newer than the current one.
 func (h *Holder) Lacking(head *configpb.Head) ([]Digest, error) {
 	if head.GetRevision() <= h.Revision() {
 		return nil, nil
@@ -44,17 +44,17 @@
 	if err != nil {
 		return nil, err
 	}
-	var lacking []Digest
+	var missing []Digest
 	for _, d := range all {
 		if _, ok := h.parts[d]; !ok {
-			lacking = append(lacking, d)
+			missing = append(missing, d)
 		}
 	}
-	return lacking, nil
+	return missing, nil
 }
 
-// Offer puts a head in force if it is newer than the one in force, and reports
-// whether it did. fetched holds the parts that were lacking.
+// Offer makes head the current one if it is newer, and reports whether it did.
+// fetched contains the parts that Lacking returned.
 func (h *Holder) Offer(head *configpb.Head, fetched Parts) (bool, error) {
 	if head.GetRevision() <= h.Revision() {
 		return false, nil
@@ -75,16 +75,16 @@
 	if err != nil {
 		return false, err
 	}
-	h.reuse(head, config)
+	h.reuseServices(head, config)
 	h.head = proto.Clone(head).(*configpb.Head)
 	h.parts = parts
 	h.config = config
 	return true, nil
 }
 
-// reuse keeps the messages of services that did not change, so that readers
-// see by the pointer that nothing changed.
-func (h *Holder) reuse(head *configpb.Head, next *configpb.Config) {
+// reuseServices replaces the messages of unchanged services in next by those of the
+// current configuration, so that readers can detect changes by comparing pointers.
+func (h *Holder) reuseServices(head *configpb.Head, next *configpb.Config) {
 	unchanged := map[string]*configpb.Service{}
 	for i, name := range h.head.GetServiceParts() {
 		unchanged[string(name)] = h.config.GetServices()[i]
--- a/config/parts.go
+++ b/config/parts.go
@@ -9,10 +9,10 @@
 	"github.com/mallowgap/mallowgap/api/configpb"
 )
 
-// Digest names a part by its content (SHA-256).
+// Digest is the SHA-256 hash of an encoded part, by which the part is identified.
 type Digest [sha256.Size]byte
 
-// ToDigest reads a digest from its bytes.
+// ToDigest converts a byte slice to a digest.
 func ToDigest(b []byte) (Digest, error) {
 	var d Digest
 	if len(b) != len(d) {
@@ -22,10 +22,10 @@
 	return d, nil
 }
 
-// Parts maps digests to the parts they name.
+// Parts maps digests to encoded parts.
 type Parts map[Digest][]byte
 
-// Split returns the head of a configuration and its parts.
+// Split encodes a configuration as a head and its parts.
 func Split(c *configpb.Config) (*configpb.Head, Parts, error) {
 	head := &configpb.Head{Revision: c.GetRevision(), ChangeId: c.GetChangeId()}
 	parts := Parts{}
@@ -47,14 +47,14 @@
 func (p Parts) add(m proto.Message) ([]byte, error) {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("encode a part of the configuration: %w", err)
+		return nil, fmt.Errorf("encode part of the configuration: %w", err)
 	}
 	digest := Digest(sha256.Sum256(b))
 	p[digest] = b
 	return digest[:], nil
 }
 
-// Digests returns the digests that a head names.
+// Digests returns the digests of the parts that a head references.
 func Digests(head *configpb.Head) ([]Digest, error) {
 	names := append([][]byte{head.GetDesksPart()}, head.GetServiceParts()...)
 	digests := make([]Digest, 0, len(names))
@@ -68,19 +68,19 @@
 	return digests, nil
 }
 
-// Join returns the configuration that a head names. Every part must be there
-// and have the content that its digest says.
+// Join decodes the configuration that a head references. It returns an error if a
+// part is missing or does not match its digest.
 func Join(head *configpb.Head, parts Parts) (*configpb.Config, error) {
 	c := &configpb.Config{Revision: head.GetRevision(), ChangeId: head.GetChangeId()}
 	for _, name := range head.GetServiceParts() {
 		s := &configpb.Service{}
-		if err := parts.read(name, s); err != nil {
+		if err := parts.decode(name, s); err != nil {
 			return nil, err
 		}
 		c.Services = append(c.Services, s)
 	}
 	desks := &configpb.DeskList{}
-	if err := parts.read(head.GetDesksPart(), desks); err != nil {
+	if err := parts.decode(head.GetDesksPart(), desks); err != nil {
 		return nil, err
 	}
 	c.Desks = desks.GetDesks()
@@ -88,7 +88,7 @@
 	return c, nil
 }
 
-func (p Parts) read(name []byte, m proto.Message) error {
+func (p Parts) decode(name []byte, m proto.Message) error {
 	digest, err := ToDigest(name)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 		return fmt.Errorf("part %x is missing: fetch it from a peer or the store", name[:4])
 	}
 	if sha256.Sum256(b) != digest {
-		return fmt.Errorf("part %x has other content than its digest says: fetch it again", name[:4])
+		return fmt.Errorf("part %x does not match its digest: fetch it again", name[:4])
 	}
 	return proto.Unmarshal(b, m)
 }
--- a/config/validate.go
+++ b/config/validate.go
@@ -9,21 +9,22 @@
 	"github.com/mallowgap/mallowgap/api/configpb"
 )
 
-// KeySpace is the end of the range that the shards of a service cover.
+// KeySpace is the exclusive end of the key range that the shards of a service cover.
 const KeySpace = 65536
 
-// MaxReplicas is the largest number of replicas of one shard.
+// MaxReplicas is the maximum number of replicas per shard.
 const MaxReplicas = 64
 
-// InvalidError lists every fault of a configuration.
+// InvalidError lists all faults of a configuration.
 type InvalidError struct {
 	Faults []string
 }
 
-// Error joins the faults.
+// Error returns the faults, separated by semicolons.
 func (e *InvalidError) Error() string { return strings.Join(e.Faults, "; ") }
 
-// Validate returns an *InvalidError with all faults of a configuration, or nil.
+// Validate checks a configuration and returns an *InvalidError with all its faults,
+// or nil.
 func Validate(c *configpb.Config) error {
 	v := &validator{}
 	v.classes(c.GetClasses())
@@ -49,9 +50,9 @@
 
 func (v *validator) unique(kind, name string, seen map[string]bool) {
 	if name == "" {
-		v.add("a %s has no name: give it one", kind)
+		v.add("a %s has no name: set one", kind)
 	} else if seen[name] {
-		v.add("%s %q is named twice: keep one", kind, name)
+		v.add("%s %q is a duplicate: remove one", kind, name)
 	}
 	seen[name] = true
 }
@@ -61,7 +62,7 @@
 	for _, c := range classes {
 		v.unique("class", c.GetName(), names)
 		if other, ok := ranks[c.GetRank()]; ok {
-			v.add("classes %q and %q share rank %d: give each its own", other, c.GetName(), c.GetRank())
+			v.add("classes %q and %q have the same rank %d: use distinct ranks", other, c.GetName(), c.GetRank())
 		}
 		ranks[c.GetRank()] = c.GetName()
 	}
@@ -83,16 +84,16 @@
 		v.add("service %q has epoch 0: number shard maps from 1", s.GetName())
 	}
 	if s.GetSlots() == 0 {
-		v.add("service %q has 0 slots: set how many requests a leaf runs at a time", s.GetName())
+		v.add("service %q has 0 slots: set the number of concurrent requests per leaf", s.GetName())
 	}
 	if s.GetConnections() == 0 {
-		v.add("service %q has 0 connections: set the cap of a leaf", s.GetName())
+		v.add("service %q has 0 connections: set the maximum per leaf", s.GetName())
 	}
 	if m := s.GetMinCoverage(); m < 0 || m > 1 {
-		v.add("service %q has min_coverage %g: use a share from 0 to 1", s.GetName(), m)
+		v.add("service %q has min_coverage %g: use a fraction from 0 to 1", s.GetName(), m)
 	}
 	if e := s.GetEarlyShare(); e < 0 || e > 1 {
-		v.add("service %q has early_share %g: use a share from 0 to 1", s.GetName(), e)
+		v.add("service %q has early_share %g: use a fraction from 0 to 1", s.GetName(), e)
 	}
 	v.shards(s)
 }
@@ -105,7 +106,7 @@
 	for _, shard := range sorted {
 		v.unique("shard of "+s.GetName(), shard.GetName(), names)
 		if shard.GetFrom() != next || shard.GetTo() <= shard.GetFrom() {
-			v.add("service %q: shard %q covers %d to %d where %d should begin: cover 0 to %d without gap or overlap",
+			v.add("service %q: shard %q covers %d to %d but should start at %d: cover 0 to %d without gaps or overlaps",
 				s.GetName(), shard.GetName(), shard.GetFrom(), shard.GetTo(), next, KeySpace)
 		}
 		next = shard.GetTo()
@@ -123,23 +124,23 @@
 	seen := map[string]bool{}
 	for _, r := range shard.GetReplicas() {
 		if _, err := netip.ParseAddrPort(r.GetAddress()); err != nil {
-			v.add("service %q: shard %q: address %q is not IP:port: correct it", s.GetName(), shard.GetName(), r.GetAddress())
+			v.add("service %q: shard %q: address %q is not IP:port: correct the address", s.GetName(), shard.GetName(), r.GetAddress())
 		}
 		v.unique("replica of "+shard.GetName(), r.GetAddress(), seen)
 	}
 }
 
-// ValidateChange returns an *InvalidError where a valid configuration may not
-// follow the old one: a changed shard map needs a higher epoch.
+// ValidateChange checks that a valid configuration may follow the old one, and
+// returns an *InvalidError otherwise: a changed shard map needs a higher epoch.
 func ValidateChange(old, next *configpb.Config) error {
 	v := &validator{}
 	for _, s := range next.GetServices() {
-		before := findService(old, s.GetName())
-		if before == nil || sameShards(before, s) {
+		previous := findService(old, s.GetName())
+		if previous == nil || sameShards(previous, s) {
 			continue
 		}
-		if s.GetEpoch() <= before.GetEpoch() {
-			v.add("service %q: the shards change but epoch %d does not rise above %d: raise it", s.GetName(), s.GetEpoch(), before.GetEpoch())
+		if s.GetEpoch() <= previous.GetEpoch() {
+			v.add("service %q: the shards changed but epoch %d is not greater than %d: increase the epoch", s.GetName(), s.GetEpoch(), previous.GetEpoch())
 		}
 	}
 	if len(v.faults) == 0 {
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// sameShards reports whether two shard maps have the same ranges by the same
-// names. Replicas may differ: a leaf more or less does not change the map.
+// sameShards reports whether two services have shards of the same names and
+// ranges. Replicas are not compared, as they are not part of the shard map.
 func sameShards(a, b *configpb.Service) bool {
 	return slices.EqualFunc(a.GetShards(), b.GetShards(), func(x, y *configpb.Shard) bool {
 		return x.GetName() == y.GetName() && x.GetFrom() == y.GetFrom() && x.GetTo() == y.GetTo()
