--- a/once/doc.go
+++ b/once/doc.go
@@ -1,12 +1,13 @@
-// Package once runs a non-repeatable request at most once, wherever and
-// however often it is sent again, without a store and without a lease.
+// Package once provides at-most-once execution of requests that are not
+// idempotent, however often and through whichever hosts they are resent. It needs
+// neither a store nor a lease.
 //
-// A host mints a ticket for one future request. The ticket can be redeemed
-// only at the same incarnation of the same host, which remembers the redeemed
-// ones in memory. The check that permits the execution and the record of it
-// are one step in one process, so no pause comes between them.
+// A host mints a ticket for one future request. The ticket can be redeemed only
+// at the same incarnation of the same host, which keeps the redeemed tickets in
+// memory. A redemption checks and records the ticket atomically under one lock,
+// so a pause of the process cannot fall between the two.
 //
-// Invariants: at most one execution is permitted for a ticket; a ticket binds
-// the first request that redeems it; when the incarnation is gone, the ticket
-// never permits anything again.
+// Invariants: a ticket permits at most one execution; a ticket is bound to the
+// first request that redeems it; after its incarnation has ended, a ticket never
+// permits an execution.
 package once
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -5,36 +5,40 @@
 	"sync"
 )
 
-// keepOutcomes is how many outcomes of the last executions are kept, so that a
-// resend gets the outcome again. The fact that a ticket was redeemed is kept
-// for good.
-const keepOutcomes = 4096
+// maxOutcomes bounds the outcomes of recent executions that are kept to be
+// returned to resends. The redemption itself is recorded for as long as the
+// process runs.
+const maxOutcomes = 4096
 
-// keepMinted is how many minted tickets are remembered with their request.
-const keepMinted = 16384
+// maxMinted bounds the minted tickets that are remembered by their request.
+const maxMinted = 16384
 
-// pageBits is the number of tickets whose redemption one page records.
+// pageBits is the number of bits, one per ticket, in a page of the bitmap of
+// redeemed tickets.
 const pageBits = 1 << 12
 
-// Decision is what a redemption permits.
+// Decision is the result of redeeming a ticket.
 type Decision int
 
 const (
-	// Run: execute the request now; nobody else was or will be told so.
+	// Run permits the only execution of the request.
 	Run Decision = iota
-	// Replay: the request was executed; its outcome is returned.
+	// Replay means that the request was executed and its outcome is returned.
 	Replay
-	// InProgress: the request is being executed.
+	// InProgress means that the request is being executed.
 	InProgress
-	// Used: the request was permitted before and its outcome is not kept.
+	// Used means that the execution was permitted before and its outcome is no
+	// longer kept.
 	Used
-	// OtherRequest: the ticket belongs to another request; this one was not run.
+	// OtherRequest means that the ticket is bound to another request; this one was
+	// not run.
 	OtherRequest
-	// OtherHost: only the host named in the ticket can decide.
+	// OtherHost means that only the host named in the ticket can redeem it.
 	OtherHost
-	// HostGone: the incarnation that minted the ticket is gone.
+	// HostGone means that the incarnation that minted the ticket has ended.
 	HostGone
-	// Invalid: the ticket was not minted here; nothing was or will be run.
+	// Invalid means that the ticket was not minted by this host for this desk and
+	// service; it never permits an execution.
 	Invalid
 )
 
@@ -43,46 +47,49 @@
 type Ledger struct {
 	host        string
 	incarnation uint64
-	key         key
+	key         signingKey
 
-	mu       sync.Mutex
-	next     uint64
+	mu           sync.Mutex
+	lastSequence uint64
+	// redeemed is the bitmap of redeemed sequence numbers, by page.
 	redeemed map[uint64]*[pageBits / 64]uint64
-	running  map[uint64]*entry
-	outcomes map[uint64]*entry
-	oldest   []uint64
-	// minted remembers the tickets last minted.
-	minted    map[identity]uint64
-	mintOrder []identity
+	running  map[uint64]*execution
+	outcomes map[uint64]*execution
+	// outcomeOrder lists the keys of outcomes, oldest first.
+	outcomeOrder []uint64
+	// minted maps recent requests to the sequence numbers of their tickets.
+	minted    map[requestKey]uint64
+	mintOrder []requestKey
 }
 
-// identity is what a desk calls its request.
-type identity struct {
+// requestKey identifies a request of a desk.
+type requestKey struct {
 	desk, service, request string
 }
 
-type entry struct {
+type execution struct {
 	request string
 	outcome []byte
 	done    chan struct{}
 }
 
-// NewLedger returns the ledger of one incarnation. An incarnation number must
-// never be used twice by one host name.
+// NewLedger returns the ledger of one incarnation of a host. A host name must
+// never use an incarnation number twice.
 func NewLedger(host string, incarnation uint64) *Ledger {
 	return &Ledger{
 		host:        host,
 		incarnation: incarnation,
-		key:         newKey(),
+		key:         newSigningKey(),
 		redeemed:    map[uint64]*[pageBits / 64]uint64{},
-		running:     map[uint64]*entry{},
-		outcomes:    map[uint64]*entry{},
-		minted:      map[identity]uint64{},
+		running:     map[uint64]*execution{},
+		outcomes:    map[uint64]*execution{},
+		minted:      map[requestKey]uint64{},
 	}
 }
 
-// Mint returns the encoding of a ticket for one request of a desk. The same
-// request gets the same ticket again for as long as it is remembered.
+// Mint returns an encoded ticket for a request of a desk. The same request gets
+// the same ticket as long as it is remembered. An empty request gets a new ticket
+// each time.
 func (l *Ledger) Mint(desk, service, request string) []byte {
 	l.mu.Lock()
 	sequence := l.sequenceFor(desk, service, request)
@@ -93,44 +100,44 @@
 }
 
 func (l *Ledger) sequenceFor(desk, service, request string) uint64 {
-	id := identity{desk: desk, service: service, request: request}
+	id := requestKey{desk: desk, service: service, request: request}
 	if sequence, ok := l.minted[id]; ok && request != "" {
 		return sequence
 	}
-	l.next++
+	l.lastSequence++
 	if request == "" {
-		return l.next
+		return l.lastSequence
 	}
-	l.minted[id] = l.next
+	l.minted[id] = l.lastSequence
 	l.mintOrder = append(l.mintOrder, id)
-	if len(l.mintOrder) > keepMinted {
+	if len(l.mintOrder) > maxMinted {
 		delete(l.minted, l.mintOrder[0])
 		l.mintOrder = l.mintOrder[1:]
 	}
-	return l.next
+	return l.lastSequence
 }
 
-// Renew returns the encoding of a new ticket for a request whose ticket ended
-// without an execution and never permits one any more.
+// Renew returns a new encoded ticket for a request whose previous ticket was spent
+// without an execution.
 func (l *Ledger) Renew(desk, service, request string) []byte {
 	l.mu.Lock()
-	delete(l.minted, identity{desk: desk, service: service, request: request})
+	delete(l.minted, requestKey{desk: desk, service: service, request: request})
 	l.mu.Unlock()
 	return l.Mint(desk, service, request)
 }
 
-// Redeemed reports whether a request that comes without a ticket is remembered
-// as one that was permitted, so that it must not be called not run.
+// Redeemed reports whether the ticket of a request that arrived without it is known
+// to be redeemed. Such a request must not be reported as not run.
 func (l *Ledger) Redeemed(desk, service, request string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sequence, ok := l.minted[identity{desk: desk, service: service, request: request}]
+	sequence, ok := l.minted[requestKey{desk: desk, service: service, request: request}]
 	return ok && l.isRedeemed(sequence)
 }
 
-// Redeem decides about a request that came with a ticket. With Run, the caller
-// must call Finish. With Replay the outcome is returned. With
-// InProgress the channel is closed when the execution ends.
+// Redeem decides whether a request with a ticket may be executed. After Run, the
+// caller must call Finish. With Replay, the outcome is returned. With InProgress,
+// the returned channel is closed when the execution ends.
 func (l *Ledger) Redeem(t Ticket, desk, service, request string) (Decision, []byte, <-chan struct{}) {
 	if t.Host != l.host {
 		return OtherHost, nil, nil
@@ -144,29 +151,29 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.running[t.Sequence]; e != nil {
-		return l.repeated(e, request, InProgress)
+		return l.duplicate(e, request, InProgress)
 	}
 	if e := l.outcomes[t.Sequence]; e != nil {
-		return l.repeated(e, request, Replay)
+		return l.duplicate(e, request, Replay)
 	}
 	if l.isRedeemed(t.Sequence) {
 		return Used, nil, nil
 	}
 	l.setRedeemed(t.Sequence)
-	l.running[t.Sequence] = &entry{request: request, done: make(chan struct{})}
+	l.running[t.Sequence] = &execution{request: request, done: make(chan struct{})}
 	return Run, nil, nil
 }
 
-func (l *Ledger) repeated(e *entry, request string, decision Decision) (Decision, []byte, <-chan struct{}) {
+func (l *Ledger) duplicate(e *execution, request string, decision Decision) (Decision, []byte, <-chan struct{}) {
 	if e.request != request {
 		return OtherRequest, nil, nil
 	}
 	return decision, e.outcome, e.done
 }
 
-// Finish records the outcome of an execution that was permitted. Where that is
-// "not run", the ticket is spent all the same, so that no copy of the request
-// that is still on its way runs after the desk was told so.
+// Finish records the outcome of a permitted execution. The ticket is spent even if
+// the outcome is "not run", so that no delayed copy of the request is executed
+// after the desk has received this outcome.
 func (l *Ledger) Finish(t Ticket, outcome []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,10 +184,10 @@
 	delete(l.running, t.Sequence)
 	e.outcome = outcome
 	l.outcomes[t.Sequence] = e
-	l.oldest = append(l.oldest, t.Sequence)
-	if len(l.oldest) > keepOutcomes {
-		delete(l.outcomes, l.oldest[0])
-		l.oldest = l.oldest[1:]
+	l.outcomeOrder = append(l.outcomeOrder, t.Sequence)
+	if len(l.outcomeOrder) > maxOutcomes {
+		delete(l.outcomes, l.outcomeOrder[0])
+		l.outcomeOrder = l.outcomeOrder[1:]
 	}
 	close(e.done)
 }
--- a/once/ledger_test.go
+++ b/once/ledger_test.go
@@ -60,8 +60,8 @@
 	assert.ErrorIs(t, err, once.ErrMalformed)
 }
 
-// The same request gets the same ticket, so that doubled sends without one
-// cannot lead to two executions; after "not run" it gets another.
+// A request gets the same ticket each time, so that duplicates sent without a ticket
+// cannot be executed twice. Renew replaces the ticket after "not run".
 func TestMintBindsTheRequest(t *testing.T) {
 	l := once.NewLedger("a", 1)
 	first := decode(t, l.Mint("desk", "tags", "r"))
@@ -72,7 +72,7 @@
 	renewed := decode(t, l.Renew("desk", "tags", "r"))
 	assert.Assert(t, renewed.Sequence != first.Sequence)
 	l.Finish(first, []byte("not run"))
-	assert.Equal(t, redeem(l, first, "r"), once.Replay, "the old ticket never runs")
+	assert.Equal(t, redeem(l, first, "r"), once.Replay, "the old ticket must not permit an execution")
 }
 
 func ExampleLedger() {
--- a/once/ticket.go
+++ b/once/ticket.go
@@ -9,7 +9,7 @@
 	"fmt"
 )
 
-// Ticket permits one execution at one incarnation of one host.
+// Ticket permits one execution of a request at one incarnation of one host.
 type Ticket struct {
 	Host        string `json:"h"`
 	Incarnation uint64 `json:"i"`
@@ -19,10 +19,10 @@
 	MAC         []byte `json:"m"`
 }
 
-// ErrMalformed is returned for bytes that are no ticket.
-var ErrMalformed = errors.New("ticket is malformed; ask again without a ticket to get a new one")
+// ErrMalformed is returned for bytes that do not encode a ticket.
+var ErrMalformed = errors.New("ticket is malformed: send the request without a ticket to get a new one")
 
-// Decode reads the encoding of a ticket without verifying it.
+// Decode decodes a ticket without verifying its MAC.
 func Decode(encoded []byte) (Ticket, error) {
 	var t Ticket
 	if err := json.Unmarshal(encoded, &t); err != nil {
@@ -37,23 +37,23 @@
 func (t Ticket) encode() []byte {
 	encoded, err := json.Marshal(t)
 	if err != nil {
-		panic("once: a ticket has only plain fields: " + err.Error())
+		panic("once: encode ticket: " + err.Error())
 	}
 	return encoded
 }
 
-// key signs the tickets of one incarnation.
-type key [sha256.Size]byte
+// signingKey is the HMAC key for the tickets of one incarnation.
+type signingKey [sha256.Size]byte
 
-func newKey() key {
-	var k key
+func newSigningKey() signingKey {
+	var k signingKey
 	if _, err := rand.Read(k[:]); err != nil {
-		panic("once: no randomness: " + err.Error())
+		panic("once: generate signing key: " + err.Error())
 	}
 	return k
 }
 
-func (k key) sign(t Ticket) []byte {
+func (k signingKey) sign(t Ticket) []byte {
 	t.MAC = nil
 	mac := hmac.New(sha256.New, k[:])
 	_, _ = mac.Write(t.encode())
