--- a/examples/embed/main.go
+++ b/examples/embed/main.go
@@ -1,6 +1,6 @@
-// Command embed shows the coordination packages of mallowgap inside another
-// system: a job runner that admits jobs by priority, keeps a limit on each
-// worker, bounds its retries, and holds its settings through config.
+// Command embed shows how another system uses the coordination packages of
+// mallowgap: a job runner that admits jobs by priority, limits the concurrency of
+// each worker, bounds its retries and stores its settings with package config.
 package main
 
 import (
@@ -30,7 +30,7 @@
 
 var errWorker = errors.New("worker failed")
 
-// runner runs jobs on workers. One mutex guards all decisions.
+// runner runs jobs on workers. mu guards all other fields.
 type runner struct {
 	mu      sync.Mutex
 	queue   *admission.Queue
@@ -52,28 +52,28 @@
 	}
 }
 
-// run runs one job; rank 0 goes first.
+// run queues one job and runs it once admitted. Rank 0 has the highest priority.
 func (r *runner) run(name string, rank uint32) error {
 	admitted := make(chan struct{})
 	item := &admission.Item{Rank: rank, Deadline: time.Now().Add(time.Second), Admitted: func() { close(admitted) }}
 	r.mu.Lock()
-	refusal, after := r.queue.Offer(item, time.Now())
+	refusal, retryAfter := r.queue.Offer(item, time.Now())
 	r.queue.Admit()
 	r.mu.Unlock()
 	if refusal != admission.Accepted {
-		return fmt.Errorf("job %s is refused: come back in %v", name, after)
+		return fmt.Errorf("job %s refused: retry after %v", name, retryAfter)
 	}
 	<-admitted
-	begin := time.Now()
+	start := time.Now()
 	err := r.attempts(name, rank)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.Done(rank, time.Since(begin))
+	r.queue.Done(rank, time.Since(start))
 	r.queue.Admit()
 	return err
 }
 
-// attempts tries a job, again while the budget permits it.
+// attempts runs a job, with retries as long as the budget permits them.
 func (r *runner) attempts(name string, rank uint32) error {
 	r.mu.Lock()
 	r.budget.FirstAttempts(1)
@@ -84,9 +84,9 @@
 			return nil
 		}
 		r.mu.Lock()
-		again := r.budget.Take(rank)
+		allowed := r.budget.Take(rank)
 		r.mu.Unlock()
-		if !again {
+		if !allowed {
 			return err
 		}
 	}
@@ -94,9 +94,9 @@
 
 func (r *runner) attempt(name string) error {
 	r.mu.Lock()
-	begin := time.Now()
-	worker := r.workers.Pick(begin, 0, 0)
-	if worker == replica.None || !r.workers.Acquire(worker, begin) {
+	start := time.Now()
+	worker := r.workers.Pick(start, 0, 0)
+	if worker == replica.None || !r.workers.Acquire(worker, start) {
 		r.mu.Unlock()
 		time.Sleep(time.Millisecond)
 		return r.attempt(name)
@@ -111,21 +111,23 @@
 		r.workers.Failed(worker, time.Now())
 		return errWorker
 	}
-	r.workers.Answered(worker, time.Since(begin), time.Now())
+	r.workers.Answered(worker, time.Since(start), time.Now())
 	fmt.Printf("job %s ran on %s\n", name, r.workers.Leaves[worker].Address)
 	return nil
 }
 
-// memory is the smallest store that config works with.
-type memory struct {
+// memStore is a minimal in-memory config.Store.
+type memStore struct {
 	values map[string]config.Value
 }
 
 // Get implements config.Store.
-func (m *memory) Get(_ context.Context, key string) (config.Value, error) { return m.values[key], nil }
+func (m *memStore) Get(_ context.Context, key string) (config.Value, error) {
+	return m.values[key], nil
+}
 
 // CompareAndSwap implements config.Store.
-func (m *memory) CompareAndSwap(_ context.Context, key string, expect uint64, data []byte) (bool, error) {
+func (m *memStore) CompareAndSwap(_ context.Context, key string, expect uint64, data []byte) (bool, error) {
 	if m.values[key].Version != expect {
 		return false, nil
 	}
@@ -133,17 +135,17 @@
 	return true, nil
 }
 
-// changeClasses makes two changes from the same revision: the second loses.
+// changeClasses applies two changes to the same revision; the second one conflicts.
 func changeClasses() error {
-	editor := config.Editor{Store: &memory{values: map[string]config.Value{}}, Sleep: config.Sleep}
+	editor := config.Editor{Store: &memStore{values: map[string]config.Value{}}, Sleep: config.Sleep}
 	next := &configpb.Config{Classes: []*configpb.Class{{Name: "urgent"}, {Name: "batch", Rank: 1}}}
 	revision, err := editor.Apply(context.Background(), 0, "add classes", next)
 	if err != nil {
 		return err
 	}
-	fmt.Println("classes are in force as revision", revision)
+	fmt.Println("classes applied as revision", revision)
 	_, err = editor.Apply(context.Background(), 0, "add classes too", next)
-	fmt.Println("a second change from the same revision:", err)
+	fmt.Println("second change to the same revision:", err)
 	return nil
 }
 
@@ -152,14 +154,14 @@
 		log.Fatal(err)
 	}
 	r := newRunner(rand.New(rand.NewPCG(1, 1)))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range jobs {
-		all.Go(func() {
+		wg.Go(func() {
 			name := fmt.Sprint(i)
 			if err := r.run(name, uint32(i%2)); err != nil {
 				fmt.Printf("job %s: %v\n", name, err)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
