--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -21,23 +21,24 @@
 // Client calls other entry hosts by their addresses.
 type Client interface {
 	Gossip(ctx context.Context, address string, message *peerpb.GossipMessage) (*peerpb.GossipMessage, error)
-	// Forward hands a request to a home. After an error other than an
-	// *UnreachableError the home may have run it.
+	// Forward sends a request to a home host of its service. After an error other
+	// than an *UnreachableError, the host may have run the request.
 	Forward(ctx context.Context, address string, request *peerpb.ForwardRequest) (*callerpb.AskReply, error)
 	FetchHead(ctx context.Context, address string) (*peerpb.FetchHeadReply, error)
 	FetchParts(ctx context.Context, address string, request *peerpb.FetchPartsRequest) (*peerpb.FetchPartsReply, error)
 	Applied(ctx context.Context, address string) (*peerpb.AppliedReply, error)
 }
 
-// UnreachableError says that no connection could be made and nothing was sent.
+// UnreachableError reports that no connection could be established and nothing was
+// sent.
 type UnreachableError struct {
 	Address string
 	Err     error
 }
 
-// Error names the peer.
+// Error returns the address of the peer and the cause.
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("entry host %s cannot be reached: %v", e.Address, e.Err)
+	return fmt.Sprintf("connect to peer %s: %v", e.Address, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -50,30 +51,30 @@
 }
 
 const (
-	// userTimeout is for how long bytes sent to a peer may stay unacknowledged:
-	// a few round trips between regions.
+	// userTimeout is how long sent data may remain unacknowledged before the
+	// connection is closed: a few round trips between regions.
 	userTimeout = 2 * time.Second
-	// idleTime is for how long an unused connection is kept.
-	idleTime = 30 * time.Second
-	// perPeer bounds the idle connections kept to one peer.
-	perPeer = 32
-	// allPeers bounds the idle connections kept to all peers.
-	allPeers = 512
+	// idleTimeout is how long an unused connection is kept.
+	idleTimeout = 30 * time.Second
+	// maxIdlePerPeer bounds the idle connections kept to one peer.
+	maxIdlePerPeer = 32
+	// maxIdleTotal bounds the idle connections kept to all peers.
+	maxIdleTotal = 512
 )
 
-// DRPC is the adapter over drpc. It is safe for concurrent use.
+// DRPC calls peers over DRPC. It implements Client and is safe for concurrent use.
 type DRPC struct {
 	pool        *drpcpool.Pool[string, drpcpool.Conn]
 	dialTimeout time.Duration
 	identity    *secure.Identity
 }
 
-// NewDRPC returns a client without connections. No dial takes longer than
-// dialTimeout. identity is nil where TLS is off.
+// NewDRPC returns a client without connections. dialTimeout bounds each dial.
+// identity is nil if TLS is disabled.
 func NewDRPC(dialTimeout time.Duration, identity *secure.Identity) *DRPC {
 	return &DRPC{
 		pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
-			Expiration: idleTime, KeyCapacity: perPeer, Capacity: allPeers,
+			Expiration: idleTimeout, KeyCapacity: maxIdlePerPeer, Capacity: maxIdleTotal,
 		}),
 		dialTimeout: dialTimeout,
 		identity:    identity,
@@ -83,26 +84,26 @@
 // Close closes all idle connections.
 func (c *DRPC) Close() error { return c.pool.Close() }
 
-// Forget closes the idle connections to a peer that was found silent: all may
-// have gone silent without a reset, while a new one would work.
+// Forget closes the idle connections to a peer that stopped responding. All of them
+// may be dead without having been reset, while a new connection would work.
 func (c *DRPC) Forget(address string) {
 	for {
 		conn, ok := c.pool.Take(address)
 		if !ok {
 			return
 		}
-		_ = conn.Close() // Nothing is under way on it.
+		_ = conn.Close() // Nothing is in flight on an idle connection.
 	}
 }
 
-// call runs fn on a connection.
+// call runs fn with a client on a pooled or new connection.
 func (c *DRPC) call(ctx context.Context, address string, fn func(client peerpb.DRPCPeerClient) error) error {
-	return c.with(ctx, address, func(conn drpc.Conn) error { return fn(peerpb.NewDRPCPeerClient(conn)) })
+	return c.withConn(ctx, address, func(conn drpc.Conn) error { return fn(peerpb.NewDRPCPeerClient(conn)) })
 }
 
-// with runs fn on a connection. It returns an *UnreachableError where none
-// could be had.
-func (c *DRPC) with(ctx context.Context, address string, fn func(conn drpc.Conn) error) error {
+// withConn runs fn with a pooled or new connection. It returns an *UnreachableError
+// if no connection could be established.
+func (c *DRPC) withConn(ctx context.Context, address string, fn func(conn drpc.Conn) error) error {
 	var dialErr error
 	conn := c.pool.Get(ctx, address, func(ctx context.Context, address string) (drpcpool.Conn, error) {
 		raw, err := c.dial(ctx, address)
@@ -120,15 +121,14 @@
 	return err
 }
 
-// dial connects to a peer. With TLS, the two have proved themselves when it
-// returns.
+// dial connects to a peer. With TLS, the handshake has completed when it returns.
 func (c *DRPC) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: c.dialTimeout, Control: sockopt.UserTimeout(userTimeout)}
 	if c.identity == nil {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	secured := tls.Dialer{NetDialer: &dialer, Config: c.identity.Client()}
-	return secured.DialContext(ctx, "tcp", address)
+	tlsDialer := tls.Dialer{NetDialer: &dialer, Config: c.identity.Client()}
+	return tlsDialer.DialContext(ctx, "tcp", address)
 }
 
 // Gossip implements Client.
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -15,38 +15,39 @@
 	"github.com/mallowgap/mallowgap/internal/peer"
 )
 
-// patience bounds what a test waits for; nothing that works takes so long.
-const patience = 10 * time.Second
+// testTimeout bounds a test in case of a failure.
+const testTimeout = 10 * time.Second
 
-// relayStub answers State, when all calls of a round are there.
+// relayStub answers State. Calls with a revision wait at the barrier, so that they
+// are in flight at the same time, each on a connection of its own.
 type relayStub struct {
 	relaypb.DRPCRelayUnimplementedServer
-	round sync.WaitGroup
+	barrier sync.WaitGroup
 }
 
 func (s *relayStub) State(_ context.Context, m *relaypb.StateRequest) (*relaypb.StateReply, error) {
 	if m.GetRevision() > 0 {
-		s.round.Done()
-		s.round.Wait()
+		s.barrier.Done()
+		s.barrier.Wait()
 	}
 	return &relaypb.StateReply{Revision: 7}, nil
 }
 
-// link passes connections on to a server until they are silenced.
-type link struct {
+// faultyListener wraps accepted connections so that they can be silenced.
+type faultyListener struct {
 	listener net.Listener
 	mu       sync.Mutex
-	open     []*silenceable
+	conns    []*faultyConn
 }
 
-// silenceable loses what is written to it once it is silent.
-type silenceable struct {
+// faultyConn discards writes once it is silent.
+type faultyConn struct {
 	net.Conn
 	mu     sync.Mutex
 	silent bool
 }
 
-func (c *silenceable) Write(b []byte) (int, error) {
+func (c *faultyConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.silent {
@@ -55,58 +56,57 @@
 	return c.Conn.Write(b)
 }
 
-func (l *link) Accept() (net.Conn, error) {
+func (l *faultyListener) Accept() (net.Conn, error) {
 	c, err := l.listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open = append(l.open, &silenceable{Conn: c})
-	return l.open[len(l.open)-1], nil
+	l.conns = append(l.conns, &faultyConn{Conn: c})
+	return l.conns[len(l.conns)-1], nil
 }
 
-func (l *link) Close() error   { return l.listener.Close() }
-func (l *link) Addr() net.Addr { return l.listener.Addr() }
+func (l *faultyListener) Close() error   { return l.listener.Close() }
+func (l *faultyListener) Addr() net.Addr { return l.listener.Addr() }
 
-// silence silences all open connections and returns their number.
-func (l *link) silence() int {
+// silence silences all accepted connections and returns their number.
+func (l *faultyListener) silence() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, c := range l.open {
+	for _, c := range l.conns {
 		c.mu.Lock()
 		c.silent = true
 		c.mu.Unlock()
 	}
-	return len(l.open)
+	return len(l.conns)
 }
 
-// Open connections that went silent for good were once tried one by one, each
-// after the wait of a suspected peer, although a new connection would have
-// worked at once.
+// Forget must discard idle connections that no longer respond, instead of each being
+// used and timing out before a new one is dialed.
 func TestForgottenConnectionsAreNotUsed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	stub, mux := &relayStub{}, drpcmux.New()
 	assert.NilError(t, relaypb.DRPCRegisterRelay(mux, stub))
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	l := &link{listener: listener}
+	l := &faultyListener{listener: listener}
 	go func() { _ = drpcserver.New(mux).Serve(ctx, l) }()
 
-	client := peer.NewDRPC(patience, nil)
+	client := peer.NewDRPC(testTimeout, nil)
 	defer func() { _ = client.Close() }()
 	address := listener.Addr().String()
 	const calls = 5
-	stub.round.Add(calls)
-	var done sync.WaitGroup
+	stub.barrier.Add(calls)
+	var wg sync.WaitGroup
 	for range calls {
-		done.Go(func() {
+		wg.Go(func() {
 			_, err := client.State(ctx, address, &relaypb.StateRequest{Revision: 1})
 			assert.Check(t, err)
 		})
 	}
-	done.Wait()
+	wg.Wait()
 	assert.Equal(t, l.silence(), calls)
 	client.Forget(address)
 	reply, err := client.State(ctx, address, &relaypb.StateRequest{})
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer is the edge between entry hosts: a small interface, and an
-// adapter over drpc with a pool of connections to each host.
+// Package peer contains the client for calls between hosts: an interface for the
+// calls between entry hosts, and an implementation over DRPC with a connection pool.
 package peer
--- a/internal/peer/peerfake/network.go
+++ b/internal/peer/peerfake/network.go
@@ -1,5 +1,5 @@
-// Package peerfake is a network between entry hosts in memory, with cuts,
-// freezes and deaths, for tests.
+// Package peerfake simulates the network between entry hosts in memory, with
+// partitions, frozen hosts and crashes, for tests.
 package peerfake
 
 import (
@@ -19,50 +19,51 @@
 
 // Network connects entry hosts. It is safe for concurrent use.
 type Network struct {
-	// Delay is the one-way delay.
+	// Delay is the one-way latency.
 	Delay time.Duration
 
 	mu      sync.Mutex
 	servers map[string]peerpb.DRPCPeerServer
-	cuts    map[pair]bool
+	cuts    map[direction]bool
 	frozen  map[string]chan struct{}
 }
 
-// pair is a direction between two addresses.
-type pair struct {
+// direction is one direction of the link between two addresses.
+type direction struct {
 	from, to string
 }
 
-// New returns a network without hosts.
+// New returns a network without hosts. delay is the one-way latency.
 func New(delay time.Duration) *Network {
 	return &Network{
 		Delay: delay, servers: map[string]peerpb.DRPCPeerServer{},
-		cuts: map[pair]bool{}, frozen: map[string]chan struct{}{},
+		cuts: map[direction]bool{}, frozen: map[string]chan struct{}{},
 	}
 }
 
-// Serve puts a host on the network.
+// Serve adds a host to the network.
 func (n *Network) Serve(address string, s peerpb.DRPCPeerServer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.servers[address] = s
 }
 
-// Remove takes a host off the network; replies on their way are lost.
+// Remove removes a host from the network. Its replies in flight are lost.
 func (n *Network) Remove(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.servers, address)
 }
 
-// Cut cuts or mends one direction.
+// Cut blocks the direction from one address to another, or restores it if on is
+// false.
 func (n *Network) Cut(from, to string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[pair{from, to}] = on
+	n.cuts[direction{from, to}] = on
 }
 
-// Freeze stops all that a host sends and receives, until Thaw.
+// Freeze holds all messages from and to a host until Thaw.
 func (n *Network) Freeze(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +72,7 @@
 	}
 }
 
-// Thaw ends a freeze; what was held back goes on, however late.
+// Thaw ends a freeze. Messages that were held are delivered late.
 func (n *Network) Thaw(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,7 +82,7 @@
 	}
 }
 
-// Await blocks while a host is frozen.
+// Await blocks as long as a host is frozen.
 func (n *Network) Await(address string) {
 	for {
 		n.mu.Lock()
@@ -101,10 +102,10 @@
 	return n.servers[address] != nil
 }
 
-func (n *Network) cut(from, to string) bool {
+func (n *Network) isCut(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[pair{from, to}]
+	return n.cuts[direction{from, to}]
 }
 
 func (n *Network) server(address string) peerpb.DRPCPeerServer {
@@ -121,41 +122,41 @@
 	from    string
 }
 
-// result is what comes back from a peer.
+// result is the reply or error of a call.
 type result struct {
 	reply proto.Message
 	err   error
 }
 
-// call carries a call to a peer. The peer runs it even if the caller gives up.
+// call delivers a call to a peer. The peer runs it even if ctx ends before.
 func (c client) call(ctx context.Context, to string, run func(peerpb.DRPCPeerServer) (proto.Message, error)) (proto.Message, error) {
 	n := c.network
 	n.Await(c.from)
-	if n.server(to) == nil || n.cut(c.from, to) {
+	if n.server(to) == nil || n.isCut(c.from, to) {
 		time.Sleep(n.Delay)
 		return nil, &peer.UnreachableError{Address: to, Err: errors.New("connection refused")}
 	}
-	back := make(chan result, 1)
+	results := make(chan result, 1)
 	go func() {
 		time.Sleep(n.Delay)
 		n.Await(to)
 		server := n.server(to)
 		if server == nil {
-			back <- result{err: errLost}
+			results <- result{err: errLost}
 			return
 		}
 		reply, err := run(server)
 		n.Await(to)
 		time.Sleep(n.Delay)
-		if !n.Alive(to) || n.cut(to, c.from) {
+		if !n.Alive(to) || n.isCut(to, c.from) {
 			reply, err = nil, errLost
 		}
-		back <- result{reply: reply, err: err}
+		results <- result{reply: reply, err: err}
 	}()
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case r := <-back:
+	case r := <-results:
 		n.Await(c.from)
 		return r.reply, r.err
 	}
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -10,10 +10,10 @@
 	"github.com/mallowgap/mallowgap/api/relaypb"
 )
 
-// Gather asks a peer to call servers near it. Each reply is handed to received
-// until the last one. An *UnreachableError says that nothing was sent.
-func (c *DRPC) Gather(ctx context.Context, address string, request *relaypb.GatherRequest, received func(*relaypb.GatherReply)) error {
-	return c.with(ctx, address, func(conn drpc.Conn) error {
+// Gather asks a peer to call backend servers near it. handle is called for each
+// reply up to the last one. An *UnreachableError means that nothing was sent.
+func (c *DRPC) Gather(ctx context.Context, address string, request *relaypb.GatherRequest, handle func(*relaypb.GatherReply)) error {
+	return c.withConn(ctx, address, func(conn drpc.Conn) error {
 		stream, err := relaypb.NewDRPCRelayClient(conn).Gather(ctx, request)
 		if err != nil {
 			return err
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			received(reply)
+			handle(reply)
 			if reply.GetLast() {
 				return stream.Close()
 			}
@@ -34,10 +34,10 @@
 	})
 }
 
-// Follow hands what a peer learns of the platform to received until ctx ends or
-// the connection fails.
-func (c *DRPC) Follow(ctx context.Context, address string, request *relaypb.FollowRequest, received func(*relaypb.FollowReply)) error {
-	return c.with(ctx, address, func(conn drpc.Conn) error {
+// Follow subscribes to the platform state of a peer. handle is called for each
+// update until ctx ends or the connection fails.
+func (c *DRPC) Follow(ctx context.Context, address string, request *relaypb.FollowRequest, handle func(*relaypb.FollowReply)) error {
+	return c.withConn(ctx, address, func(conn drpc.Conn) error {
 		stream, err := relaypb.NewDRPCRelayClient(conn).Follow(ctx, request)
 		if err != nil {
 			return err
@@ -47,22 +47,22 @@
 			if err != nil {
 				return err
 			}
-			received(reply)
+			handle(reply)
 		}
 	})
 }
 
-// Tell hands a peer entries that the store does not take now.
+// Tell sends a peer the entries that this host cannot write to the store now.
 func (c *DRPC) Tell(ctx context.Context, address string, request *relaypb.TellRequest) error {
-	return c.with(ctx, address, func(conn drpc.Conn) error {
+	return c.withConn(ctx, address, func(conn drpc.Conn) error {
 		_, err := relaypb.NewDRPCRelayClient(conn).Tell(ctx, request)
 		return err
 	})
 }
 
-// State asks a peer for what it knows of the platform.
+// State returns the platform state of a peer.
 func (c *DRPC) State(ctx context.Context, address string, request *relaypb.StateRequest) (reply *relaypb.StateReply, err error) {
-	err = c.with(ctx, address, func(conn drpc.Conn) (err error) {
+	err = c.withConn(ctx, address, func(conn drpc.Conn) (err error) {
 		reply, err = relaypb.NewDRPCRelayClient(conn).State(ctx, request)
 		return err
 	})
