--- a/internal/leaf/client.go
+++ b/internal/leaf/client.go
@@ -19,56 +19,57 @@
 
 // Client sends requests to backend servers.
 type Client interface {
-	// Execute runs one attempt. After an error other than a *NotSentError the
-	// server may have run it.
+	// Execute sends one attempt of a request. After an error other than a
+	// *NotSentError, the server may have run it.
 	Execute(ctx context.Context, address string, request *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error)
-	// Describe asks for the state of a server and opens the connection to it.
+	// Describe returns the state of a server. It connects to the server if needed.
 	Describe(ctx context.Context, address string) (*leafpb.DescribeReply, error)
-	// Forget closes the connection to a server that is no longer configured.
+	// Forget closes the connection to a server, for example one that was removed
+	// from the configuration.
 	Forget(address string)
 }
 
-// NotSentError says that nothing of a request left this host.
+// NotSentError reports that no part of a request was sent.
 type NotSentError struct {
 	Address string
 	Err     error
 }
 
-// Error names the server.
+// Error returns the address of the server and the cause.
 func (e *NotSentError) Error() string {
-	return fmt.Sprintf("nothing was sent to leaf %s: %v", e.Address, e.Err)
+	return fmt.Sprintf("request not sent to leaf %s: %v", e.Address, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// NotSent reports whether an error proves that the request did not leave.
+// NotSent reports whether an error proves that the request was not sent.
 func NotSent(err error) bool {
 	var e *NotSentError
 	return errors.As(err, &e)
 }
 
 const (
-	// maxPartBytes is the largest reply taken from a leaf.
-	maxPartBytes = 16 << 20
-	// firstReconnect and longestReconnect bound the pauses between dials, so
-	// that a server that comes back is not stormed.
-	firstReconnect   = 100 * time.Millisecond
-	longestReconnect = 2 * time.Second
-	// dialTimeout bounds one dial.
+	// maxReplyBytes is the largest reply accepted from a leaf.
+	maxReplyBytes = 16 << 20
+	// reconnectBaseDelay and reconnectMaxDelay bound the backoff between dials, so
+	// that a restarted server is not flooded with connections.
+	reconnectBaseDelay = 100 * time.Millisecond
+	reconnectMaxDelay  = 2 * time.Second
+	// dialTimeout is the minimum time allowed for a dial.
 	dialTimeout = 2 * time.Second
 )
 
-// GRPC is the adapter over gRPC. It holds one connection to each server and
-// multiplexes requests on it. It is safe for concurrent use.
+// GRPC implements Client over gRPC. It multiplexes the requests to a server on one
+// connection. It is safe for concurrent use.
 type GRPC struct {
 	credentials credentials.TransportCredentials
 	mu          sync.Mutex
 	conns       map[string]*grpc.ClientConn
 }
 
-// NewGRPC returns a client without connections that uses the credentials for
-// each it makes.
+// NewGRPC returns a client without connections. It uses the credentials for each
+// connection.
 func NewGRPC(c credentials.TransportCredentials) *GRPC {
 	return &GRPC{credentials: c, conns: map[string]*grpc.ClientConn{}}
 }
@@ -102,10 +103,10 @@
 	conn, err := secure.Dial(address, c.credentials,
 		grpc.WithDisableRetry(),
 		grpc.WithStatsHandler(sentRecorder{}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxPartBytes)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReplyBytes)),
 		grpc.WithIdleTimeout(0),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: firstReconnect, Multiplier: 2, Jitter: 0.3, MaxDelay: longestReconnect},
+			Backoff:           backoff.Config{BaseDelay: reconnectBaseDelay, Multiplier: 2, Jitter: 0.3, MaxDelay: reconnectMaxDelay},
 			MinConnectTimeout: dialTimeout,
 		}))
 	if err != nil {
@@ -140,8 +141,8 @@
 
 type sentKey struct{}
 
-// sentRecorder notes when the header of a request is handed to the transport.
-// Until then nothing can have reached the server.
+// sentRecorder records that the header of a request was passed to the transport.
+// Before that, nothing can have reached the server.
 type sentRecorder struct{}
 
 // TagRPC implements stats.Handler.
--- a/internal/leaf/doc.go
+++ b/internal/leaf/doc.go
@@ -1,3 +1,3 @@
-// Package leaf is the edge to the backend servers: a small interface, and an
-// adapter over gRPC with one connection a server.
+// Package leaf contains the client for backend servers: an interface and an
+// implementation over gRPC with one connection per server.
 package leaf
--- a/internal/leaf/leaffake/fleet.go
+++ b/internal/leaf/leaffake/fleet.go
@@ -1,6 +1,6 @@
-// Package leaffake is a fleet of backend servers in memory, with the faults
-// that real ones have, for tests. It is a hostile network: a request that was
-// sent is delivered even if the sender gave up on it in the meantime.
+// Package leaffake simulates a fleet of backend servers in memory, with fault
+// injection, for tests. A request that was sent is delivered even if the sender has
+// given up on it in the meantime.
 package leaffake
 
 import (
@@ -15,31 +15,31 @@
 	"github.com/mallowgap/mallowgap/internal/leaf"
 )
 
-// Faults of one leaf.
+// Faults are the faults injected into one leaf.
 type Faults struct {
-	// Down refuses connections; requests already delivered go on.
+	// Down refuses connections. Requests in flight continue.
 	Down bool
-	// LoseReplies executes requests and loses the replies.
+	// LoseReplies executes requests and returns an error instead of the reply.
 	LoseReplies bool
-	// Slow is added to the service time.
+	// Slow is added to the service time of each request.
 	Slow time.Duration
-	// Draining refuses new requests and says so.
+	// Draining refuses new requests and reports in the status that it is draining.
 	Draining bool
-	// Lies answers with the newest version whatever was asked for.
+	// Lies answers with the newest index version, whichever was requested.
 	Lies bool
-	// Clip sends parts without their rows.
+	// Clip omits the rows from parts but keeps the row count.
 	Clip bool
-	// Swap answers with the reply to the request before.
+	// Swap answers with the reply to the previous request.
 	Swap bool
-	// FailFast answers every request with an error at once.
+	// FailFast answers every request with an error, without executing it.
 	FailFast bool
-	// Silent executes requests and never replies.
+	// Silent executes requests and never replies; the connection is lost later.
 	Silent bool
 }
 
 var errLost = errors.New("connection lost")
 
-// Execution is one request that a leaf executed.
+// Execution is an execution of a request by a leaf.
 type Execution struct {
 	Request, Attempt, Address string
 	At                        time.Time
@@ -50,21 +50,21 @@
 	versions    []uint64
 	incarnation uint64
 	inFlight    int
-	last        *leafpb.ExecuteReply
-	// arrivals are the times at which requests came, refused ones included.
+	lastReply   *leafpb.ExecuteReply
+	// arrivals are the arrival times of requests, including refused ones.
 	arrivals []time.Time
 }
 
 // Fleet is a set of leaves. It is safe for concurrent use.
 type Fleet struct {
-	// Slots of each leaf.
+	// Slots is the number of concurrent requests that each leaf accepts.
 	Slots int
-	// Service is the time that a request takes.
+	// Service is the service time of a request.
 	Service time.Duration
-	// Delay is the one-way delay to a leaf.
+	// Delay is the one-way network latency.
 	Delay time.Duration
-	// Gate is called before a request leaves its host. It may block, and
-	// reports false if the host is dead and the request never leaves.
+	// Gate is called before an attempt is sent. It may block, and returns false if
+	// the sending host is dead, so that the attempt is not sent.
 	Gate func(attempt string) bool
 
 	mu          sync.Mutex
@@ -73,7 +73,7 @@
 	maxInFlight int
 }
 
-// New returns a fleet; leaves come into being when they are first named.
+// New returns a fleet. A leaf is created when its address is first used.
 func New(slots int, service, delay time.Duration) *Fleet {
 	return &Fleet{
 		Slots: slots, Service: service, Delay: delay,
@@ -90,21 +90,21 @@
 	return s
 }
 
-// SetFaults changes the faults of a leaf.
+// SetFaults replaces the faults of a leaf.
 func (f *Fleet) SetFaults(address string, faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.server(address).faults = faults
 }
 
-// SetVersions changes the index versions that a leaf holds, oldest first.
+// SetVersions replaces the index versions that a leaf holds, oldest first.
 func (f *Fleet) SetVersions(address string, versions []uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.server(address).versions = slices.Clone(versions)
 }
 
-// Restart makes a leaf a new incarnation without faults.
+// Restart gives a leaf a new incarnation and clears its faults.
 func (f *Fleet) Restart(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,30 +113,30 @@
 	s.faults = Faults{}
 }
 
-// Executions returns what all leaves executed.
+// Executions returns the executions of all leaves.
 func (f *Fleet) Executions() []Execution {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.executions)
 }
 
-// Arrivals returns when requests came to a leaf.
+// Arrivals returns the arrival times of requests at a leaf, including refused ones.
 func (f *Fleet) Arrivals(address string) []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.server(address).arrivals)
 }
 
-// MaxInFlight returns the most requests that any one leaf had at a time, those
-// it refused for want of a slot included.
+// MaxInFlight returns the maximum number of concurrent requests at any one leaf. A
+// request refused because all slots were in use is counted as well.
 func (f *Fleet) MaxInFlight() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.maxInFlight
 }
 
-// outcome is what comes back from a leaf.
-type outcome struct {
+// result is the reply or error of a request.
+type result struct {
 	reply *leafpb.ExecuteReply
 	err   error
 }
@@ -152,22 +152,22 @@
 	if down {
 		return nil, &leaf.NotSentError{Address: address, Err: errors.New("connection refused")}
 	}
-	back := make(chan outcome, 1)
+	results := make(chan result, 1)
 	go func() {
 		time.Sleep(f.Delay)
 		reply, err := f.deliver(request, address)
 		time.Sleep(f.Delay)
-		back <- outcome{reply: reply, err: err}
+		results <- result{reply: reply, err: err}
 	}()
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case o := <-back:
-		return o.reply, o.err
+	case r := <-results:
+		return r.reply, r.err
 	}
 }
 
-// deliver runs a request at the leaf.
+// deliver executes a request at a leaf, or refuses it.
 func (f *Fleet) deliver(request *leafpb.ExecuteRequest, address string) (*leafpb.ExecuteReply, error) {
 	f.mu.Lock()
 	s := f.server(address)
@@ -227,14 +227,14 @@
 	reply := &leafpb.ExecuteReply{
 		AttemptId: request.GetAttemptId(), Status: s.status(), Result: &leafpb.ExecuteReply_Part{Part: part},
 	}
-	previous := s.last
-	s.last = reply
+	previous := s.lastReply
+	s.lastReply = reply
 	switch {
 	case faults.LoseReplies:
 		return nil, errLost
 	case faults.Silent:
 		f.mu.Unlock()
-		time.Sleep(silence)
+		time.Sleep(silentDuration)
 		f.mu.Lock()
 		return nil, errLost
 	case faults.Swap && previous != nil:
@@ -244,8 +244,9 @@
 	}
 }
 
-// silence is for how long a silent leaf keeps a connection.
-const silence = 10 * time.Second
+// silentDuration is how long a silent leaf holds a request before its connection is
+// lost.
+const silentDuration = 10 * time.Second
 
 func (s *server) status() *leafpb.Status {
 	return &leafpb.Status{
@@ -254,7 +255,8 @@
 	}
 }
 
-// Row is the row that a leaf answers with: from where and for whom it is.
+// Row returns the row with which a leaf answers a request. It identifies the request,
+// the shard, its epoch and the index version.
 func Row(request, shard string, epoch, version uint64) string {
 	return fmt.Sprintf("%s %s %d %d", request, shard, epoch, version)
 }
