--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,3 +1,3 @@
-// Package platform is the edge to the platform's key-value service and host
-// list: small interfaces, and an adapter over gRPC.
+// Package platform contains the client for the platform's key-value service and host
+// list: interfaces and an implementation over gRPC.
 package platform
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,18 +17,21 @@
 // Store is the key-value service.
 type Store interface {
 	config.Store
-	// Watch returns the value once its version is above after, or with the
-	// error of ctx.
+	// Watch waits until the version of the value is greater than after and returns
+	// the value, or the error of ctx if that ends first.
 	Watch(ctx context.Context, key string, after uint64) (config.Value, error)
 }
 
-// HostList is the lagging list of hosts.
+// HostList is the platform's list of hosts. It is eventually consistent and may be
+// out of date.
 type HostList interface {
+	// Hosts returns the hosts in the list.
 	Hosts(ctx context.Context) ([]*platformpb.Host, error)
+	// Announce adds this host to the list or updates its entry.
 	Announce(ctx context.Context, host *platformpb.Host) error
 }
 
-// Client is the adapter to both services. It is safe for concurrent use.
+// Client implements Store and HostList over gRPC. It is safe for concurrent use.
 type Client struct {
 	conn    *grpc.ClientConn
 	kv      platformpb.KeyValueClient
@@ -36,8 +39,8 @@
 	timeout time.Duration
 }
 
-// NewClient returns a client of the platform at address. No call but Watch
-// takes longer than timeout.
+// NewClient returns a client of the platform at address. timeout bounds each call
+// except Watch.
 func NewClient(address string, timeout time.Duration, c credentials.TransportCredentials) (*Client, error) {
 	conn, err := secure.Dial(address, c)
 	if err != nil {
@@ -54,7 +57,7 @@
 // Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Get reads a value; version 0 is none.
+// Get returns a value. Version 0 means that the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (config.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -66,8 +69,8 @@
 	return config.Value{Version: reply.GetVersion(), Data: reply.GetValue()}, nil
 }
 
-// CompareAndSwap writes a value if the key has the expected version. After an
-// error it may or may not have been written.
+// CompareAndSwap writes a value if the key has the expected version, and reports
+// whether it did. After an error, the value may or may not have been written.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -79,7 +82,8 @@
 	return reply.GetSwapped(), nil
 }
 
-// Watch waits for a version above after until ctx ends.
+// Watch waits until the version of the value is greater than after and returns the
+// value, or an error if ctx ends first.
 func (c *Client) Watch(ctx context.Context, key string, after uint64) (config.Value, error) {
 	reply, err := c.kv.Watch(ctx, &platformpb.WatchRequest{Key: key, AfterVersion: after})
 	obs.CountStore("watch", err)
@@ -89,7 +93,7 @@
 	return config.Value{Version: reply.GetVersion(), Data: reply.GetValue()}, nil
 }
 
-// Hosts reads the host list.
+// Hosts returns the hosts in the list.
 func (c *Client) Hosts(ctx context.Context) ([]*platformpb.Host, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -101,7 +105,7 @@
 	return reply.GetHosts(), nil
 }
 
-// Announce enters or changes a host in the list.
+// Announce adds a host to the list or updates its entry.
 func (c *Client) Announce(ctx context.Context, host *platformpb.Host) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/internal/platform/platformfake/fake.go
+++ b/internal/platform/platformfake/fake.go
@@ -1,5 +1,5 @@
-// Package platformfake is the platform in memory, with the faults that the
-// real one has, for tests.
+// Package platformfake implements the platform's services in memory, with fault
+// injection, for tests.
 package platformfake
 
 import (
@@ -22,22 +22,24 @@
 
 // Platform is a key-value service and a host list. It is safe for concurrent use.
 type Platform struct {
-	mu      sync.Mutex
-	values  map[string]config.Value
-	hosts   map[string]*platformpb.Host
+	mu     sync.Mutex
+	values map[string]config.Value
+	hosts  map[string]*platformpb.Host
+	// changed is closed and replaced by each write.
 	changed chan struct{}
 	outage  bool
-	// delayed holds writes that were sent and have not arrived yet.
-	delayed []delayedWrite
-	delay   int
-	lose    int
-	// faulty is the key whose writes are delayed or lose their replies.
-	faulty string
-	// stale reads are answered with the values before the last write.
-	stale    int
-	previous map[string]config.Value
-	calls    int
-	reads    map[string]int
+	// delayedWrites are writes that were sent but have not yet taken effect.
+	delayedWrites []delayedWrite
+	// delayWrites and loseReplies are how many of the next writes of faultyKey are
+	// delayed or lose their replies.
+	delayWrites int
+	loseReplies int
+	faultyKey   string
+	// staleReads is how many of the next reads and watches return the previous value.
+	staleReads int
+	previous   map[string]config.Value
+	calls      int
+	reads      map[string]int
 }
 
 type delayedWrite struct {
@@ -51,53 +53,54 @@
 	return &Platform{values: map[string]config.Value{}, previous: map[string]config.Value{}, reads: map[string]int{}, hosts: map[string]*platformpb.Host{}, changed: make(chan struct{})}
 }
 
-// SetOutage begins or ends an outage.
+// SetOutage starts or ends an outage.
 func (p *Platform) SetOutage(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outage = on
 }
 
-// LoseReplies makes the next n writes of a key take effect and lose their replies.
+// LoseReplies makes the next n writes of a key take effect but return ErrLost.
 func (p *Platform) LoseReplies(key string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faulty, p.lose = key, n
+	p.faultyKey, p.loseReplies = key, n
 }
 
-// StaleReads makes the next n reads and watches return values from before the
-// last write.
+// StaleReads makes the next n reads and watches return the value before the last
+// write of the key.
 func (p *Platform) StaleReads(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stale = n
+	p.staleReads = n
 }
 
-// DelayWrites makes the next n writes of a key fail now and arrive at Deliver.
+// DelayWrites makes the next n writes of a key return ErrLost and take effect only
+// when Deliver is called.
 func (p *Platform) DelayWrites(key string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faulty, p.delay = key, n
+	p.faultyKey, p.delayWrites = key, n
 }
 
-// Deliver lets the delayed writes arrive.
+// Deliver executes the delayed writes.
 func (p *Platform) Deliver() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, w := range p.delayed {
+	for _, w := range p.delayedWrites {
 		p.swap(w.key, w.expect, w.data)
 	}
-	p.delayed = nil
+	p.delayedWrites = nil
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls of both services so far.
 func (p *Platform) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// Reads returns the number of reads of keys with a prefix.
+// Reads returns the number of Get calls for keys with the given prefix.
 func (p *Platform) Reads(prefix string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,8 +122,8 @@
 	if p.outage {
 		return config.Value{}, ErrOutage
 	}
-	if p.stale > 0 {
-		p.stale--
+	if p.staleReads > 0 {
+		p.staleReads--
 		return p.previous[key], nil
 	}
 	return p.values[key], nil
@@ -134,14 +137,14 @@
 	if p.outage {
 		return false, ErrOutage
 	}
-	if p.delay > 0 && key == p.faulty {
-		p.delay--
-		p.delayed = append(p.delayed, delayedWrite{key: key, expect: expect, data: data})
+	if p.delayWrites > 0 && key == p.faultyKey {
+		p.delayWrites--
+		p.delayedWrites = append(p.delayedWrites, delayedWrite{key: key, expect: expect, data: data})
 		return false, ErrLost
 	}
 	swapped := p.swap(key, expect, data)
-	if p.lose > 0 && key == p.faulty {
-		p.lose--
+	if p.loseReplies > 0 && key == p.faultyKey {
+		p.loseReplies--
 		return false, ErrLost
 	}
 	return swapped, nil
@@ -167,9 +170,9 @@
 	for {
 		p.mu.Lock()
 		value, changed, outage := p.values[key], p.changed, p.outage
-		stale := p.stale > 0 && p.previous[key].Version > 0
+		stale := p.staleReads > 0 && p.previous[key].Version > 0
 		if stale {
-			p.stale--
+			p.staleReads--
 			value = p.previous[key]
 		}
 		p.mu.Unlock()
