--- a/internal/secure/dial.go
+++ b/internal/secure/dial.go
@@ -5,11 +5,11 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// Dial returns a gRPC connection to one address, made when it is first used.
-// What the library offers for discovery and proxies is switched off.
-func Dial(address string, c credentials.TransportCredentials, more ...grpc.DialOption) (*grpc.ClientConn, error) {
+// Dial returns a gRPC connection to an address, which connects on first use. Name
+// resolution, service configs and proxies of the library are disabled.
+func Dial(address string, c credentials.TransportCredentials, opts ...grpc.DialOption) (*grpc.ClientConn, error) {
 	options := append([]grpc.DialOption{
 		grpc.WithTransportCredentials(c), grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
-	}, more...)
+	}, opts...)
 	return grpc.NewClient("passthrough:///"+address, options...)
 }
--- a/internal/secure/doc.go
+++ b/internal/secure/doc.go
@@ -1,4 +1,4 @@
-// Package secure makes the TLS configurations of listeners and connections from
-// files. Peers prove themselves to each other with certificates of one
-// authority; a desk's certificate is verified if it brings one.
+// Package secure creates the TLS configurations of servers and clients from PEM
+// files. Peers authenticate each other with certificates of a common CA; the
+// certificate of a desk is optional and verified if presented.
 package secure
--- a/internal/secure/tls.go
+++ b/internal/secure/tls.go
@@ -11,50 +11,50 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// Files are the paths of PEM files. All empty means that TLS is off.
+// Files are the paths of PEM files. If all are empty, TLS is disabled.
 type Files struct {
 	// Cert and Key are this host's certificate and key.
 	Cert, Key string
-	// CA holds the authorities that others' certificates are verified by.
+	// CA contains the CA certificates by which others' certificates are verified.
 	CA string
 }
 
-// Enabled reports whether TLS is on.
+// Enabled reports whether TLS is enabled.
 func (f Files) Enabled() bool { return f != Files{} }
 
-// Identity is a certificate with the authorities that it trusts. The zero value
-// stands for TLS switched off.
+// Identity is the certificate of a host, if it has one, and the CAs that it trusts.
+// A nil *Identity means that TLS is disabled.
 type Identity struct {
 	certificates []tls.Certificate
 	authorities  *x509.CertPool
 }
 
-// Load reads the files. It returns nil where TLS is off.
+// Load reads the files. It returns nil if TLS is disabled.
 func Load(f Files) (*Identity, error) {
 	if !f.Enabled() {
 		return nil, nil
 	}
 	pem, err := os.ReadFile(f.CA)
 	if err != nil {
-		return nil, fmt.Errorf("[tls] ca: %w: give a readable PEM file of authorities", err)
+		return nil, fmt.Errorf("[tls] ca: %w: set a readable PEM file of CA certificates", err)
 	}
 	id := &Identity{authorities: x509.NewCertPool()}
 	if !id.authorities.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("[tls] ca: %s holds no certificate: give a PEM file of authorities", f.CA)
+		return nil, fmt.Errorf("[tls] ca: %s contains no certificate: set a PEM file of CA certificates", f.CA)
 	}
 	if f.Cert == "" && f.Key == "" {
 		return id, nil
 	}
 	certificate, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
-		return nil, fmt.Errorf("[tls] cert, key: %w: give a PEM certificate and its key", err)
+		return nil, fmt.Errorf("[tls] cert, key: %w: set PEM files of a certificate and its private key", err)
 	}
 	id.certificates = []tls.Certificate{certificate}
 	return id, nil
 }
 
-// Server is the configuration of a listener. Others must prove who they are if
-// mutual is set.
+// Server returns the TLS configuration of a server, or nil if TLS is disabled. If
+// mutual is set, clients must present a certificate.
 func (id *Identity) Server(mutual bool) *tls.Config {
 	if id == nil {
 		return nil
@@ -66,7 +66,7 @@
 	return c
 }
 
-// Client is the configuration of a connection.
+// Client returns the TLS configuration of a client, or nil if TLS is disabled.
 func (id *Identity) Client() *tls.Config {
 	if id == nil {
 		return nil
@@ -74,7 +74,7 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: id.certificates, RootCAs: id.authorities}
 }
 
-// Listener wraps a listener where TLS is on.
+// Listener wraps lis with TLS, or returns it unchanged if TLS is disabled.
 func (id *Identity) Listener(lis net.Listener, mutual bool) net.Listener {
 	if id == nil {
 		return lis
@@ -82,7 +82,8 @@
 	return tls.NewListener(lis, id.Server(mutual))
 }
 
-// ServerCredentials are those of a gRPC server.
+// ServerCredentials returns the credentials of a gRPC server. Client certificates are
+// optional.
 func (id *Identity) ServerCredentials() credentials.TransportCredentials {
 	if id == nil {
 		return insecure.NewCredentials()
@@ -90,7 +91,7 @@
 	return credentials.NewTLS(id.Server(false))
 }
 
-// ClientCredentials are those of a gRPC connection.
+// ClientCredentials returns the credentials of a gRPC client.
 func (id *Identity) ClientCredentials() credentials.TransportCredentials {
 	if id == nil {
 		return insecure.NewCredentials()
--- a/internal/secure/tls_test.go
+++ b/internal/secure/tls_test.go
@@ -25,7 +25,7 @@
 	"github.com/mallowgap/mallowgap/internal/secure"
 )
 
-// authority signs certificates for the loopback address.
+// authority is a CA that signs certificates for the loopback address.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -65,7 +65,7 @@
 	return path
 }
 
-// files are a host's certificate, key and authority.
+// files creates a host certificate and returns its files.
 func (a *authority) files() secure.Files {
 	key := newKey(a.t)
 	der := a.sign(&x509.Certificate{
@@ -78,39 +78,40 @@
 	return secure.Files{Cert: a.write("host.pem", "CERTIFICATE", der), Key: a.write("host.key", "EC PRIVATE KEY", keyDER), CA: a.file}
 }
 
-// lone is a peer that only tells its revision.
-type lone struct{ peerpb.DRPCPeerServer }
+// revisionStub is a peer that returns a fixed revision.
+type revisionStub struct{ peerpb.DRPCPeerServer }
 
-func (lone) Applied(context.Context, *peerpb.AppliedRequest) (*peerpb.AppliedReply, error) {
+func (revisionStub) Applied(context.Context, *peerpb.AppliedRequest) (*peerpb.AppliedReply, error) {
 	return &peerpb.AppliedReply{Revision: 7}, nil
 }
 
-func (lone) Forward(context.Context, *peerpb.ForwardRequest) (*callerpb.AskReply, error) {
+func (revisionStub) Forward(context.Context, *peerpb.ForwardRequest) (*callerpb.AskReply, error) {
 	return &callerpb.AskReply{}, nil
 }
 
-// A peer talks to hosts that its authority signed, and to no others.
-func TestPeersProveThemselves(t *testing.T) {
+// A peer accepts hosts with a certificate of its CA, and rejects hosts of another CA
+// and those without TLS.
+func TestPeersAuthenticateEachOther(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	identity, err := secure.Load(ours.files())
 	assert.NilError(t, err)
-	stranger, err := secure.Load(theirs.files())
+	untrusted, err := secure.Load(theirs.files())
 	assert.NilError(t, err)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	mux := drpcmux.New()
-	assert.NilError(t, peerpb.DRPCRegisterPeer(mux, lone{}))
+	assert.NilError(t, peerpb.DRPCRegisterPeer(mux, revisionStub{}))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = drpcserver.New(mux).Serve(ctx, identity.Listener(lis, true)) }()
 	reply, err := peer.NewDRPC(time.Second, identity).Applied(ctx, lis.Addr().String())
 	assert.NilError(t, err)
 	assert.Equal(t, reply.GetRevision(), uint64(7))
-	for name, other := range map[string]*secure.Identity{"stranger": stranger, "no TLS": nil} {
-		limited, stop := context.WithTimeout(ctx, 2*time.Second)
-		_, err := peer.NewDRPC(time.Second, other).Applied(limited, lis.Addr().String())
-		stop()
-		assert.Assert(t, err != nil, "%s was let in", name)
+	for name, other := range map[string]*secure.Identity{"stranger": untrusted, "no TLS": nil} {
+		callCtx, cancelCall := context.WithTimeout(ctx, 2*time.Second)
+		_, err := peer.NewDRPC(time.Second, other).Applied(callCtx, lis.Addr().String())
+		cancelCall()
+		assert.Assert(t, err != nil, "%s must be rejected", name)
 	}
 }
 
@@ -119,9 +120,9 @@
 	assert.NilError(t, err)
 	assert.Assert(t, none == nil)
 	_, err = secure.Load(secure.Files{CA: "no-such-file.pem"})
-	assert.ErrorContains(t, err, "give a readable PEM file")
+	assert.ErrorContains(t, err, "set a readable PEM file")
 	empty := filepath.Join(t.TempDir(), "empty.pem")
 	assert.NilError(t, os.WriteFile(empty, nil, 0o600))
 	_, err = secure.Load(secure.Files{CA: empty})
-	assert.ErrorContains(t, err, "holds no certificate")
+	assert.ErrorContains(t, err, "contains no certificate")
 }
