--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,5 +1,5 @@
-// Package settings reads INI files into the generated messages of
-// api/settingspb. Each message field of a file is a section and each field of
-// a section is a key; the rules beside the fields give defaults and bounds.
-// All faults of a file are reported at once.
+// Package settings loads INI files into the generated messages of api/settingspb.
+// Each field of a file message is a section, and each field of a section message is a
+// key. Field options of the schema give defaults and bounds. All faults of a file are
+// reported at once.
 package settings
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -24,7 +24,8 @@
 	return file, settings.LoadGateway(path, file)
 }
 
-// platformFields are settings as the users' platform fills them in.
+// platformFields are example values of the fields that the platform substitutes in the
+// template.
 var platformFields = map[string]string{
 	"node": "front-a-1", "zone": "hall-a", "region": "palermo", "limits.cpu_share": "0.4", "limits.cpu_cores": "1", "limits.ram_mb": "284",
 	"listen.front": "10.1.0.9:8104", "listen.ready": "10.1.0.9:8108", "listen.control": "10.1.0.9:8106", "ip": "10.1.0.9", "port_range.0": "7380",
@@ -33,19 +34,20 @@
 	"rule_params.retry_ratio": "0.2", "rule_params.retry_slack": "54", "rule_params.retry_window_s": "10",
 }
 
-// optional is a section of the template that is left out where the platform has no value.
-var optional = regexp.MustCompile(`(?s)\{\{#(rule_params[a-z_.]+)\}\}(.*?)\{\{/rule_params[a-z_.]+\}\}`)
+// optionalSection matches a section of the template that is omitted if the platform has
+// no value for its field.
+var optionalSection = regexp.MustCompile(`(?s)\{\{#(rule_params[a-z_.]+)\}\}(.*?)\{\{/rule_params[a-z_.]+\}\}`)
 
-// fill fills in the template of the deploy file. The platform has no value for the fields
-// named.
-func fill(t *testing.T, without ...string) string {
+// renderTemplate renders the gateway's template in deploy/ with platformFields, except
+// for the fields in without.
+func renderTemplate(t *testing.T, without ...string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/gateway.ini.tmpl")
 	assert.NilError(t, err)
-	zones := regexp.MustCompile(`\{\{#zones\}\}.*\{\{/zones\}\}`)
-	filled := zones.ReplaceAllString(string(text), "hall-a=palermo,hall-b=catania")
-	filled = optional.ReplaceAllStringFunc(filled, func(section string) string {
-		parts := optional.FindStringSubmatch(section)
+	zonesSection := regexp.MustCompile(`\{\{#zones\}\}.*\{\{/zones\}\}`)
+	filled := zonesSection.ReplaceAllString(string(text), "hall-a=palermo,hall-b=catania")
+	filled = optionalSection.ReplaceAllStringFunc(filled, func(section string) string {
+		parts := optionalSection.FindStringSubmatch(section)
 		if slices.Contains(without, parts[1]) {
 			return ""
 		}
@@ -54,32 +56,32 @@
 	placeholder := regexp.MustCompile(`\{\{[a-z_.0-9]+\}\}`)
 	return placeholder.ReplaceAllStringFunc(filled, func(name string) string {
 		value, ok := platformFields[strings.Trim(name, "{}")]
-		assert.Check(t, ok, "%s is not a field of the platform's settings", name)
+		assert.Check(t, ok, "%s is not a field of the platform", name)
 		return value
 	})
 }
 
 func TestTemplateOfTheDeployFileIsValid(t *testing.T) {
-	file, err := loadGateway(t, fill(t))
+	file, err := loadGateway(t, renderTemplate(t))
 	assert.NilError(t, err)
 	assert.Equal(t, file.GetHost().GetName(), "front-a-1")
 	assert.Equal(t, file.GetListen().GetMetrics(), "10.1.0.9:7380")
 	assert.Equal(t, file.GetRetry().GetWindow().AsDuration(), 10*time.Second)
 	assert.Equal(t, file.GetShutdown().GetBalancerLag().AsDuration(), 3*time.Second)
 	assert.Assert(t, file.GetCold().GetExcess() == 1.5 && file.GetCold().GetSlack() == 5)
-	file, err = loadGateway(t, fill(t, "rule_params.cold_excess", "rule_params.cold_slack"))
-	assert.NilError(t, err, "of a platform that names no bound of cold servers")
+	file, err = loadGateway(t, renderTemplate(t, "rule_params.cold_excess", "rule_params.cold_slack"))
+	assert.NilError(t, err, "without values for the limits of cold servers")
 	assert.Assert(t, file.GetCold().GetExcess() == 1 && file.GetCold().GetSlack() == 0)
 }
 
 func TestGatewayFaultsAreAllReported(t *testing.T) {
-	text := strings.Replace(fill(t), "callers = 10.1.0.9:8104", "callers = 10.1.0.9", 1)
+	text := strings.Replace(renderTemplate(t), "callers = 10.1.0.9:8104", "callers = 10.1.0.9", 1)
 	_, err := loadGateway(t, strings.Replace(text, "ready = 10.1.0.9:8108", "ready = 10.1.0.9:8106", 1))
-	var all *settings.Error
-	assert.Assert(t, errors.As(err, &all), "%v", err)
+	var settingsErr *settings.Error
+	assert.Assert(t, errors.As(err, &settingsErr), "%v", err)
 	assert.ErrorContains(t, err, `[listen] callers: "10.1.0.9" is not IP:port: write an address`)
 	assert.ErrorContains(t, err, "[listen] peers: is the same address as ready: choose another port")
-	_, err = loadGateway(t, fill(t)+"\n[query]\nanswer_share = 2\nhedges = 1\n")
+	_, err = loadGateway(t, renderTemplate(t)+"\n[query]\nanswer_share = 2\nhedges = 1\n")
 	assert.ErrorContains(t, err, "answer_share: 2 is too large")
 	assert.ErrorContains(t, err, "hedges: unknown key")
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -14,7 +14,7 @@
 // Fault is one fault of a settings file.
 type Fault struct {
 	Section, Key string
-	// Problem says what is wrong, Remedy what to do.
+	// Problem describes what is wrong, and Remedy how to correct it.
 	Problem, Remedy string
 }
 
@@ -24,7 +24,7 @@
 	Faults []Fault
 }
 
-// Error gives a line for each fault: file, section, key, problem and remedy.
+// Error returns a line for each fault with file, section, key, problem and remedy.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Faults))
 	for _, f := range e.Faults {
@@ -33,15 +33,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load fills target from an INI file and the defaults. It returns an *Error
-// with every fault, or the error that kept the file from being read.
+// Load sets the fields of target from an INI file and the defaults. It returns an
+// *Error with all faults, or another error if the file cannot be read.
 func Load(path string, target proto.Message) error {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, IgnoreInlineComment: true}, path)
 	if err != nil {
-		return fmt.Errorf("read settings: %w: give the path of a readable INI file", err)
+		return fmt.Errorf("read settings: %w: specify a readable INI file", err)
 	}
 	l := &loader{file: file}
-	l.root(target.ProtoReflect())
+	l.loadRoot(target.ProtoReflect())
 	if len(l.faults) > 0 {
 		return &Error{File: path, Faults: l.faults}
 	}
@@ -53,28 +53,28 @@
 	faults []Fault
 }
 
-func (l *loader) add(section, key, problem, remedy string) {
+func (l *loader) addFault(section, key, problem, remedy string) {
 	l.faults = append(l.faults, Fault{Section: section, Key: key, Problem: problem, Remedy: remedy})
 }
 
-func (l *loader) root(root protoreflect.Message) {
+func (l *loader) loadRoot(root protoreflect.Message) {
 	fields := root.Descriptor().Fields()
 	for i := range fields.Len() {
 		if f := fields.Get(i); !f.IsMap() {
-			l.section(string(f.Name()), root.Mutable(f).Message())
+			l.loadSection(string(f.Name()), root.Mutable(f).Message())
 		}
 	}
 	for _, s := range l.file.Sections() {
-		l.named(root, s)
+		l.loadFileSection(root, s)
 	}
 }
 
-// named checks that a section of the file exists in the schema, and fills the
-// sections that have a name of their own, such as [class gold].
-func (l *loader) named(root protoreflect.Message, s *ini.Section) {
+// loadFileSection checks that a section of the file exists in the schema. It loads
+// sections with a name, such as [class gold], into their map field.
+func (l *loader) loadFileSection(root protoreflect.Message, s *ini.Section) {
 	if s.Name() == ini.DefaultSection {
 		for _, k := range s.Keys() {
-			l.add("", k.Name(), "stands before the first section", "move it into a section")
+			l.addFault("", k.Name(), "is set before the first section", "move it into a section")
 		}
 		return
 	}
@@ -82,13 +82,13 @@
 	f := root.Descriptor().Fields().ByName(protoreflect.Name(kind))
 	switch {
 	case f == nil:
-		l.add(s.Name(), "", "unknown section", "use one of "+sectionNames(root.Descriptor()))
+		l.addFault(s.Name(), "", "unknown section", "use one of "+sectionNames(root.Descriptor()))
 	case f.IsMap() != isNamed:
-		l.add(s.Name(), "", "a section of this kind "+map[bool]string{true: "needs", false: "has no"}[f.IsMap()]+" name", "write ["+sectionForm(f)+"]")
+		l.addFault(s.Name(), "", "a section of this kind "+map[bool]string{true: "needs a", false: "cannot have a"}[f.IsMap()]+" name", "write ["+sectionForm(f)+"]")
 	case f.IsMap():
 		entries := root.Mutable(f).Map()
 		value := entries.NewValue()
-		l.section(s.Name(), value.Message())
+		l.loadSection(s.Name(), value.Message())
 		entries.Set(protoreflect.ValueOfString(strings.TrimSpace(name)).MapKey(), value)
 	}
 }
@@ -108,7 +108,7 @@
 	return strings.Join(names, ", ")
 }
 
-func (l *loader) section(name string, target protoreflect.Message) {
+func (l *loader) loadSection(name string, target protoreflect.Message) {
 	section, _ := l.file.GetSection(name)
 	fields := target.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -119,17 +119,17 @@
 			key := section.Key(string(f.Name()))
 			text = key.String()
 			if len(key.ValueWithShadows()) > 1 {
-				l.add(name, string(f.Name()), "is given more than once", "keep one")
+				l.addFault(name, string(f.Name()), "is set more than once", "keep one")
 			}
 		}
-		l.field(name, f, rule, text, target)
+		l.loadField(name, f, rule, text, target)
 	}
 	if section == nil {
 		return
 	}
 	for _, k := range section.Keys() {
 		if fields.ByName(protoreflect.Name(k.Name())) == nil {
-			l.add(name, k.Name(), "unknown key", "use one of "+keyNames(target.Descriptor()))
+			l.addFault(name, k.Name(), "unknown key", "use one of "+keyNames(target.Descriptor()))
 		}
 	}
 }
@@ -142,26 +142,26 @@
 	return strings.Join(names, ", ")
 }
 
-func (l *loader) field(section string, f protoreflect.FieldDescriptor, rule *settingspb.Rule, text string, target protoreflect.Message) {
+func (l *loader) loadField(section string, f protoreflect.FieldDescriptor, rule *settingspb.Rule, text string, target protoreflect.Message) {
 	if text == "" {
 		if rule.GetRequired() {
-			l.add(section, string(f.Name()), "is missing", "set it ("+rule.GetHelp()+")")
+			l.addFault(section, string(f.Name()), "is missing", "set it ("+rule.GetHelp()+")")
 		}
 		return
 	}
 	value, err := parse(f, text)
 	if err != nil {
-		l.add(section, string(f.Name()), err.Error(), "write "+formOf(f, rule))
+		l.addFault(section, string(f.Name()), err.Error(), "write "+allowedForm(f, rule))
 		return
 	}
-	if problem := outside(f, rule, text, value); problem != "" {
-		l.add(section, string(f.Name()), problem, "write "+formOf(f, rule))
+	if problem := violation(f, rule, text, value); problem != "" {
+		l.addFault(section, string(f.Name()), problem, "write "+allowedForm(f, rule))
 		return
 	}
 	target.Set(f, value)
 }
 
-// RuleOf returns the rule beside a field of the schema.
+// RuleOf returns the rule in the options of a schema field.
 func RuleOf(f protoreflect.FieldDescriptor) *settingspb.Rule {
 	rule, _ := proto.GetExtension(f.Options(), settingspb.E_Rule).(*settingspb.Rule)
 	return rule
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -50,11 +50,11 @@
 	text := strings.Replace(valid, "name = entry-0", "nmae = entry-0", 1) +
 		"heartbeat_timeout = 300\nsuspicion = 2h\nsuspicion = 3s\n[traffic]\nselection = best\nextra_share = 2\nhedging = yes\n[colour]\nred = 1\n"
 	err := load(t, text, &settingspb.Entry{})
-	var all *settings.Error
-	assert.Assert(t, errors.As(err, &all), "%v", err)
+	var settingsErr *settings.Error
+	assert.Assert(t, errors.As(err, &settingsErr), "%v", err)
 	for _, want := range []string{
 		"[host] name: is missing", "[host] nmae: unknown key: use one of name, failure_domain",
-		"[membership] heartbeat_timeout: \"300\" is no duration with a unit", "[membership] suspicion: is given more than once",
+		"[membership] heartbeat_timeout: \"300\" is not a duration with a unit", "[membership] suspicion: is set more than once",
 		"[traffic] selection: \"best\" is not allowed: write one of observed, random",
 		"[traffic] extra_share: 2 is too large", "[traffic] hedging: \"yes\" is neither true nor false", "[colour] : unknown section",
 	} {
@@ -62,7 +62,7 @@
 	}
 }
 
-// What lies between keys is checked too.
+// LoadEntry reports keys that contradict each other.
 func TestLoadEntryChecksContradictions(t *testing.T) {
 	text := strings.Replace(valid, "http = 127.0.0.1:3", "http = 127.0.0.1:2", 1) +
 		"heartbeat_timeout = 5s\nsuspicion = 1s\n[tls]\ncert = a.pem\nleaves = true\n"
@@ -85,17 +85,17 @@
 }
 
 func TestLoadMissingFile(t *testing.T) {
-	assert.ErrorContains(t, settings.Load("no-such-file.ini", &settingspb.Entry{}), "give the path of a readable INI file")
+	assert.ErrorContains(t, settings.Load("no-such-file.ini", &settingspb.Entry{}), "specify a readable INI file")
 }
 
-// What Print writes is read back as the same.
+// Load restores the settings that Print wrote.
 func TestPrintRoundTrip(t *testing.T) {
-	entry, again := &settingspb.Entry{}, &settingspb.Entry{}
+	entry, parsed := &settingspb.Entry{}, &settingspb.Entry{}
 	assert.NilError(t, load(t, valid, entry))
 	var text strings.Builder
 	settings.Print(&text, entry)
-	assert.NilError(t, load(t, text.String(), again))
-	assert.Assert(t, proto.Equal(entry, again))
+	assert.NilError(t, load(t, text.String(), parsed))
+	assert.Assert(t, proto.Equal(entry, parsed))
 }
 
 func FuzzLoad(f *testing.F) {
@@ -111,7 +111,7 @@
 	})
 }
 
-// The scenarios that come with the project are valid.
+// The scenarios of the repository can be loaded.
 func TestScenariosAreValid(t *testing.T) {
 	for _, pattern := range []string{"../../scenarios/*.ini", "../../scenarios/*/*.ini"} {
 		files, err := filepath.Glob(pattern)
--- a/internal/settings/print.go
+++ b/internal/settings/print.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Print writes the settings in force as an INI file, each with its default.
+// Print writes settings as an INI file, with the default of each key in a comment.
 func Print(w io.Writer, settings proto.Message) {
 	root := settings.ProtoReflect()
 	fields := root.Descriptor().Fields()
@@ -44,7 +44,8 @@
 	fmt.Fprintln(w)
 }
 
-// Markdown writes the reference of a settings file, made from its schema.
+// Markdown writes the reference documentation of a settings file, generated from its
+// schema.
 func Markdown(w io.Writer, title string, file protoreflect.MessageDescriptor) {
 	fmt.Fprintf(w, "## %s\n\n", title)
 	for i := range file.Fields().Len() {
@@ -61,7 +62,7 @@
 			if rule.GetRequired() {
 				value = "required"
 			}
-			fmt.Fprintf(w, "| `%s` | %s | %s | %s |\n", key.Name(), formOf(key, rule), value, strings.TrimSpace(rule.GetHelp()))
+			fmt.Fprintf(w, "| `%s` | %s | %s | %s |\n", key.Name(), allowedForm(key, rule), value, strings.TrimSpace(rule.GetHelp()))
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -13,7 +13,7 @@
 	"github.com/mallowgap/mallowgap/api/settingspb"
 )
 
-// parse reads the text of one key into a value of the field's type.
+// parse converts the text of a key to a value of the field's type.
 func parse(f protoreflect.FieldDescriptor, text string) (protoreflect.Value, error) {
 	switch f.Kind() {
 	case protoreflect.StringKind:
@@ -23,29 +23,29 @@
 	case protoreflect.Uint32Kind:
 		n, err := strconv.ParseUint(text, 10, 32)
 		if err != nil {
-			return protoreflect.Value{}, fmt.Errorf("%q is no whole number", text)
+			return protoreflect.Value{}, fmt.Errorf("%q is not a whole number", text)
 		}
 		return protoreflect.ValueOfUint32(uint32(n)), nil
 	case protoreflect.Uint64Kind:
 		n, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return protoreflect.Value{}, fmt.Errorf("%q is no whole number", text)
+			return protoreflect.Value{}, fmt.Errorf("%q is not a whole number", text)
 		}
 		return protoreflect.ValueOfUint64(n), nil
 	case protoreflect.DoubleKind:
 		x, err := strconv.ParseFloat(text, 64)
 		if err != nil || x != x {
-			return protoreflect.Value{}, fmt.Errorf("%q is no number", text)
+			return protoreflect.Value{}, fmt.Errorf("%q is not a number", text)
 		}
 		return protoreflect.ValueOfFloat64(x), nil
 	case protoreflect.MessageKind:
 		d, err := time.ParseDuration(text)
 		if err != nil {
-			return protoreflect.Value{}, fmt.Errorf("%q is no duration with a unit", text)
+			return protoreflect.Value{}, fmt.Errorf("%q is not a duration with a unit", text)
 		}
 		return protoreflect.ValueOfMessage(durationpb.New(d).ProtoReflect()), nil
 	default:
-		return protoreflect.Value{}, fmt.Errorf("the schema has a type that settings cannot hold (%v)", f.Kind())
+		return protoreflect.Value{}, fmt.Errorf("settings do not support fields of type %v", f.Kind())
 	}
 }
 
@@ -60,8 +60,9 @@
 	}
 }
 
-// number gives a value a size by which bounds are checked.
-func number(v protoreflect.Value) float64 {
+// numericValue converts a value to a number for the check of its bounds. Durations
+// are in seconds.
+func numericValue(v protoreflect.Value) float64 {
 	switch x := v.Interface().(type) {
 	case uint32:
 		return float64(x)
@@ -77,22 +78,22 @@
 	}
 }
 
-// outside returns what is wrong with a value that its rule does not allow.
-func outside(f protoreflect.FieldDescriptor, rule *settingspb.Rule, text string, v protoreflect.Value) string {
+// violation describes how a value violates its rule, or returns "" if it does not.
+func violation(f protoreflect.FieldDescriptor, rule *settingspb.Rule, text string, v protoreflect.Value) string {
 	if allowed := rule.GetOneOf(); len(allowed) > 0 && !slices.Contains(allowed, text) {
 		return fmt.Sprintf("%q is not allowed", text)
 	}
-	if low, err := parse(f, rule.GetMin()); rule.GetMin() != "" && err == nil && number(v) < number(low) {
+	if low, err := parse(f, rule.GetMin()); rule.GetMin() != "" && err == nil && numericValue(v) < numericValue(low) {
 		return text + " is too small"
 	}
-	if high, err := parse(f, rule.GetMax()); rule.GetMax() != "" && err == nil && number(v) > number(high) {
+	if high, err := parse(f, rule.GetMax()); rule.GetMax() != "" && err == nil && numericValue(v) > numericValue(high) {
 		return text + " is too large"
 	}
 	return ""
 }
 
-// formOf says what may be written for a key.
-func formOf(f protoreflect.FieldDescriptor, rule *settingspb.Rule) string {
+// allowedForm describes the values allowed for a key.
+func allowedForm(f protoreflect.FieldDescriptor, rule *settingspb.Rule) string {
 	if allowed := rule.GetOneOf(); len(allowed) > 0 {
 		return "one of " + strings.Join(allowed, ", ")
 	}
@@ -121,7 +122,7 @@
 	}
 }
 
-// format writes a value as it would stand in a file.
+// format returns a value as it is written in a settings file.
 func format(v protoreflect.Value) string {
 	if m, ok := v.Interface().(protoreflect.Message); ok {
 		d, _ := m.Interface().(*durationpb.Duration)
