--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -1,5 +1,4 @@
-// Package sockopt sets options of TCP sockets for which the standard library
-// has no name.
+// Package sockopt sets TCP socket options that the standard library does not support.
 package sockopt
 
 import (
@@ -7,25 +6,24 @@
 	"time"
 )
 
-// tcpUserTimeout is the option TCP_USER_TIMEOUT of Linux, which the package
-// syscall does not name.
+// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall does not define.
 const tcpUserTimeout = 18
 
-// UserTimeout returns a control function for a dialer. It bounds for how long
-// sent bytes may stay unacknowledged, so that a host that vanished is noticed;
-// 0 leaves the bound to the system.
+// UserTimeout returns a net.Dialer Control function that sets how long sent data may
+// remain unacknowledged before the connection is closed, so that an unreachable host
+// is detected. If d is 0 or less, the system default applies.
 func UserTimeout(d time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		if d <= 0 {
 			return nil
 		}
-		var failed error
+		var setErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
+			setErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return setErr
 	}
 }
