--- a/internal/httppool/doc.go
+++ b/internal/httppool/doc.go
@@ -1,7 +1,7 @@
-// Package httppool exchanges HTTP/1.1 requests and responses with servers that
-// take one request at a time on a connection and may misbehave: they answer
-// late or twice, break off, or send bytes that are no response.
+// Package httppool is an HTTP/1.1 client with a connection pool for servers that accept
+// one request at a time on a connection and may misbehave: respond late or twice,
+// truncate a response, or send bytes that are not a response.
 //
-// Invariant: a Response is whole and belongs to its request. A connection is
-// used again only if nothing but that response came on it.
+// Invariant: a Response is complete and belongs to its request. A connection is reused
+// only if nothing but that response was received on it.
 package httppool
--- a/internal/httppool/pool.go
+++ b/internal/httppool/pool.go
@@ -18,28 +18,31 @@
 )
 
 const (
-	// bufferSize holds the header and a short body of a response, in bytes.
+	// bufferSize is the size in bytes of a connection's read buffer. It fits the header
+	// and a short body of a response.
 	bufferSize = 4096
-	// asyncWrite is the size in bytes from which a request is written beside
-	// the reading of its response, as it may not fit the windows of the way.
-	asyncWrite = 16 << 10
-	// idleShare is the share of the time stated by a server for which an idle
-	// connection is used, so that a request does not cross the close.
-	idleShare = 0.7
-	// defaultIdle is for how long an idle connection is kept where the server
-	// states no time.
-	defaultIdle = 30 * time.Second
-	// maxForeign is the number of responses to other requests that are skipped.
-	maxForeign = 3
+	// asyncWriteSize is the size in bytes from which a request is written concurrently
+	// with the reading of its response, since it may exceed the socket buffers.
+	asyncWriteSize = 16 << 10
+	// idleTimeoutShare is the fraction of a server's keep-alive timeout for which an idle
+	// connection is reused, so that a request does not race with the close.
+	idleTimeoutShare = 0.7
+	// defaultIdleTimeout is how long an idle connection is kept if the server sends no
+	// keep-alive timeout.
+	defaultIdleTimeout = 30 * time.Second
+	// maxResponses bounds the responses, including informational ones, that are read in
+	// search of the one that belongs to the request.
+	maxResponses = 3
 )
 
-// Settings bound a pool.
+// Settings configures a Pool.
 type Settings struct {
-	// DialTimeout bounds the time for a new connection.
+	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
-	// UserTimeout is for how long sent bytes may stay unacknowledged.
+	// UserTimeout is how long sent data may remain unacknowledged before the connection
+	// is closed.
 	UserTimeout time.Duration
-	// MaxBody is the largest body of a response, in bytes.
+	// MaxBody is the largest response body accepted, in bytes.
 	MaxBody int64
 }
 
@@ -55,63 +58,64 @@
 	return &Pool{settings: settings, idle: map[string][]*conn{}}
 }
 
-// Request is one request, and how to know its response.
+// Request is a request with the means to recognize its response.
 type Request struct {
 	Address string
 	Method  string
-	// Target is the path and query, sent as it is.
+	// Target is the path and query, sent unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether a response belongs to this request.
+	// Mine reports whether a response belongs to this request. If nil, every response
+	// does.
 	Mine func(*http.Response) bool
-	// MaxIdle bounds for how long the connection used may have been idle; 0 is
-	// no bound.
+	// MaxIdle bounds how long a reused connection may have been idle. 0 means no bound.
 	MaxIdle time.Duration
 }
 
-// Response is a whole response.
+// Response is a complete response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Reused tells that it came on a connection that was used before.
+	// Reused reports whether the response was received on a connection from the pool.
 	Reused bool
 }
 
-// NotSentError says that no byte of the request left, so that it cannot run.
+// NotSentError reports that no byte of the request was sent, so that the server cannot
+// run it.
 type NotSentError struct {
 	Address string
 	Err     error
 }
 
-// Error names the address.
+// Error returns the address and the cause.
 func (e *NotSentError) Error() string {
-	return fmt.Sprintf("nothing was sent to %s: %v", e.Address, e.Err)
+	return fmt.Sprintf("request not sent to %s: %v", e.Address, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
 var (
-	errForeign   = errors.New("the responses on this connection belong to other requests")
-	errTooLarge  = errors.New("the response is larger than the limit")
-	errTruncated = errors.New("the response ends before its length")
+	errMismatched = errors.New("the responses on this connection belong to other requests")
+	errTooLarge   = errors.New("the body exceeds the limit")
+	errTruncated  = errors.New("the body ended before its Content-Length")
 )
 
-// conn is one connection with what was read ahead.
+// conn is a connection with its read buffer and the state of its idle timeout.
 type conn struct {
 	net.Conn
-	reader    *bufio.Reader
-	reused    bool
-	idleSince time.Time
-	idleFor   time.Duration
+	reader      *bufio.Reader
+	reused      bool
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
 // Do sends a request and returns its response. After an error other than a
-// *NotSentError the server may have run the request. The end of ctx closes the
-// connection, which tells the server to stop.
+// *NotSentError, the server may have run the request. If ctx ends first, the connection
+// is closed, which signals the server to stop.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c, err := p.connect(ctx, r)
 	if err != nil {
@@ -139,7 +143,8 @@
 	return errors.As(err, &e)
 }
 
-// connect returns an idle connection that is sound, or a new one.
+// connect returns an idle connection that is usable for the request, or a new one. Idle
+// connections that are too old, closed by the server or have unread data are discarded.
 func (p *Pool) connect(ctx context.Context, r *Request) (*conn, error) {
 	for {
 		c := p.take(r.Address)
@@ -147,7 +152,7 @@
 			break
 		}
 		idle := time.Since(c.idleSince)
-		if idle < c.idleFor && (r.MaxIdle == 0 || idle < r.MaxIdle) && quiet(c.Conn) {
+		if idle < c.idleTimeout && (r.MaxIdle == 0 || idle < r.MaxIdle) && isOpenAndEmpty(c.Conn) {
 			return c, nil
 		}
 		_ = c.Close()
@@ -164,7 +169,7 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize)}, nil
 }
 
-// Open makes a new connection to an address and keeps it as an idle one.
+// Open establishes a connection to an address and adds it to the pool.
 func (p *Pool) Open(ctx context.Context, address string) error {
 	c, err := p.dial(ctx, address)
 	if err == nil {
@@ -192,21 +197,22 @@
 func (p *Pool) put(address string, c *conn, header http.Header) {
 	c.reused = true
 	c.idleSince = time.Now()
-	c.idleFor = statedIdle(header)
+	c.idleTimeout = idleTimeout(header)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// statedIdle returns for how long the server keeps an idle connection.
-func statedIdle(header http.Header) time.Duration {
+// idleTimeout returns how long an idle connection may be reused, based on the timeout in
+// the Keep-Alive header of the last response.
+func idleTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && name == "timeout" && seconds > 0 {
-			return time.Duration(idleShare * float64(time.Duration(seconds)*time.Second))
+			return time.Duration(idleTimeoutShare * float64(time.Duration(seconds)*time.Second))
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 // Idle returns the number of idle connections.
@@ -231,17 +237,17 @@
 	}
 }
 
-// Sweep closes the idle connections whose time is over.
+// Sweep closes the idle connections that have expired.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	for address, conns := range p.idle {
 		kept := conns[:0]
 		for _, c := range conns {
-			if now.Sub(c.idleSince) < c.idleFor {
+			if now.Sub(c.idleSince) < c.idleTimeout {
 				kept = append(kept, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		if p.idle[address] = kept; len(kept) == 0 {
@@ -249,17 +255,17 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_ = c.Close()
 	}
 }
 
-// exchange sends a request and reads its response. It reports whether the
-// connection can be used again.
+// exchange sends a request and reads its response. It also returns whether the
+// connection can be reused.
 func (c *conn) exchange(r *Request, maxBody int64) (*Response, bool, error) {
-	wire := encode(r)
-	if len(wire) < asyncWrite {
-		if n, err := c.Write(wire); err != nil {
+	encoded := encode(r)
+	if len(encoded) < asyncWriteSize {
+		if n, err := c.Write(encoded); err != nil {
 			if n == 0 {
 				return nil, false, &NotSentError{Address: r.Address, Err: err}
 			}
@@ -269,7 +275,7 @@
 	}
 	written := make(chan error, 1)
 	go func() {
-		_, err := c.Write(wire)
+		_, err := c.Write(encoded)
 		written <- err
 	}()
 	response, reusable, err := c.receive(r, maxBody)
@@ -277,26 +283,27 @@
 	case writeErr := <-written:
 		return response, reusable && writeErr == nil, err
 	default:
-		// The server answered before it read the request: what is left of the
-		// request must not meet a later one on the connection.
+		// The server responded before the request was written completely. The connection
+		// must not be reused, as the rest of the request could be taken for the next one.
 		return response, false, err
 	}
 }
 
-// receive reads responses until the one that belongs to the request.
+// receive reads responses until the one that belongs to the request. It also returns
+// whether the connection can be reused.
 func (c *conn) receive(r *Request, maxBody int64) (*Response, bool, error) {
 	request := &http.Request{Method: r.Method}
-	for range maxForeign {
+	for range maxResponses {
 		head, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			return nil, false, fmt.Errorf("response of %s: %w", r.Address, err)
+			return nil, false, fmt.Errorf("read response from %s: %w", r.Address, err)
 		}
 		if head.StatusCode >= 100 && head.StatusCode < 200 {
 			continue
 		}
 		body, err := readBody(head, maxBody)
 		if err != nil {
-			return nil, false, fmt.Errorf("body of the response of %s: %w", r.Address, err)
+			return nil, false, fmt.Errorf("read response body from %s: %w", r.Address, err)
 		}
 		if r.Mine != nil && !r.Mine(head) {
 			continue
@@ -304,7 +311,7 @@
 		reusable := !head.Close && c.reader.Buffered() == 0
 		return &Response{Status: head.StatusCode, Header: head.Header, Body: body}, reusable, nil
 	}
-	return nil, false, fmt.Errorf("response of %s: %w", r.Address, errForeign)
+	return nil, false, fmt.Errorf("read response from %s: %w", r.Address, errMismatched)
 }
 
 func readBody(head *http.Response, limit int64) ([]byte, error) {
@@ -329,7 +336,7 @@
 	return body, nil
 }
 
-// encode returns the bytes of a request.
+// encode returns a request in the wire format of HTTP/1.1.
 func encode(r *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(256 + len(r.Body))
@@ -339,7 +346,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	_ = r.Header.Write(&b) // A bytes.Buffer takes every write.
+	_ = r.Header.Write(&b) // Writes to a bytes.Buffer do not fail.
 	if len(r.Body) > 0 || mayHaveBody(r.Method) {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
--- a/internal/httppool/socket.go
+++ b/internal/httppool/socket.go
@@ -5,8 +5,9 @@
 	"syscall"
 )
 
-// quiet reports whether an idle connection is open and nothing came on it.
-func quiet(c net.Conn) bool {
+// isOpenAndEmpty reports whether a connection is open and has no unread data. A
+// connection without a file descriptor is assumed to be.
+func isOpenAndEmpty(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -61,7 +61,7 @@
 TestRefusingReplicaIsChosenLess@replica/set.go@s/lossCalls = 6/lossCalls = 0/@refusals cost nothing
 TestLateExtraAnswerBelongsToNobody@internal/httppool/pool.go@s/!r.Mine\(head\)/false/@a late answer to another request is taken
 TestBrokenAnswersAreErrors@internal/httppool/pool.go@s/return nil, fmt.Errorf\("%w: %w", errTruncated, err\)/return body, nil/@a truncated answer is taken
-TestBytesAfterAnAnswerEndTheConnection@internal/httppool/pool.go@s/ && c.reader.Buffered\(\) == 0//; s/ && quiet\(c.Conn\)//@a connection with bytes of nobody is used again
+TestBytesAfterAnAnswerEndTheConnection@internal/httppool/pool.go@s/ && c.reader.Buffered\(\) == 0//; s/ && isOpenAndEmpty\(c.Conn\)//@a connection with bytes of nobody is used again
 TestEarlyAnswerToALongBodyEndsTheConnection@internal/httppool/pool.go@s/return response, false, err\n\t\}\n\}/return response, true, err\n\t}\n}/@the rest of a body meets another request
 TestHostStartsSoonWhereTheStoreIsSilent@internal/control/peers.go@s/if v.StoreLost.IsZero\(\) && v.Revision > 0 \{/if v.StoreLost.IsZero() {/@a starting host waits for a silent store
 TestHalfOfTheRelaysLostAtOnce@internal/control/peerhealth.go@s/if _, suspected := p.probeAt\[h.Address\]; suspected \|\|/if time.Now().Before(p.probeAt[h.Address]) ||/@requests are sent to try a lost peer
