--- a/member/doc.go
+++ b/member/doc.go
@@ -1,7 +1,7 @@
 // Package member maintains the membership of entry hosts with the SWIM protocol
 // (Das, Gupta and Motivala, 2002): each host probes one member per interval, and
-// membership updates are piggybacked on the probes. Peers are first discovered
-// from the platform's host list, which may be out of date.
+// membership updates are piggybacked on the probes. Hosts that the platform's host
+// list contains are added as well, although that list may be out of date.
 //
 // Invariants: of two facts about a host, the one with the higher incarnation
 // wins; with equal incarnations, the one with the more severe state wins. The
--- a/member/table.go
+++ b/member/table.go
@@ -98,7 +98,8 @@
 }
 
 // Probe returns the member to probe next, and false if there is none. In each
-// round, all members that are not dead are probed once, in random order.
+// round, all members that are not dead are probed once, in random order. Every
+// deadProbeInterval probes, a dead member is probed as well.
 func (t *Table) Probe() (Fact, bool) {
 	t.probeCount++
 	if t.probeCount%deadProbeInterval == 0 && t.deadCount > 0 {
