--- a/once/ledger_test.go
+++ b/once/ledger_test.go
@@ -34,7 +34,7 @@
 	<-done
 }
 
-func TestForgottenOutcomeIsUsed(t *testing.T) {
+func TestRedeemWithoutKeptOutcomeIsUsed(t *testing.T) {
 	l := once.NewLedger("a", 1)
 	first := decode(t, l.Mint("desk", "tags", "r"))
 	assert.Equal(t, redeem(l, first, "r"), once.Run)
@@ -47,7 +47,7 @@
 	assert.Equal(t, redeem(l, first, "r"), once.Used)
 }
 
-func TestTicketsOfOthers(t *testing.T) {
+func TestForeignAndForgedTicketsAreRejected(t *testing.T) {
 	l := once.NewLedger("a", 2)
 	assert.Equal(t, redeem(l, decode(t, once.NewLedger("b", 2).Mint("desk", "tags", "r")), "r"), once.OtherHost)
 	assert.Equal(t, redeem(l, decode(t, once.NewLedger("a", 1).Mint("desk", "tags", "r")), "r"), once.HostGone)
@@ -62,7 +62,7 @@
 
 // A request gets the same ticket each time, so that duplicates sent without a ticket
 // cannot be executed twice. Renew replaces the ticket after "not run".
-func TestMintBindsTheRequest(t *testing.T) {
+func TestMintIsIdempotentUntilRenewed(t *testing.T) {
 	l := once.NewLedger("a", 1)
 	first := decode(t, l.Mint("desk", "tags", "r"))
 	assert.Equal(t, decode(t, l.Mint("desk", "tags", "r")).Sequence, first.Sequence)
