--- a/cmd/mallowgap/capacity.go
+++ b/cmd/mallowgap/capacity.go
@@ -8,11 +8,11 @@
 
 type capacityCommand struct {
 	Args struct {
-		Page string `positional-arg-name:"PAGE" description:"Page whose tables are rewritten."`
+		Page string `positional-arg-name:"PAGE" description:"Markdown page whose generated tables are replaced."`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute measures the slopes and rewrites the page.
+// Execute runs the capacity measurements and replaces the tables of the page.
 func (c *capacityCommand) Execute([]string) error {
 	return capacity.Measure(os.Stdout).Rewrite(c.Args.Page)
 }
--- a/cmd/mallowgap/entry.go
+++ b/cmd/mallowgap/entry.go
@@ -21,7 +21,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute runs an entry host until it is told to stop.
+// Execute runs an entry host until a stop signal arrives.
 func (c *entryCommand) Execute([]string) error {
 	file := &settingspb.Entry{}
 	if err := settings.LoadEntry(c.Args.File, file); err != nil {
@@ -36,12 +36,12 @@
 		return err
 	}
 	client, err := platform.NewClient(file.GetPlatform().GetAddress(), file.GetPlatform().GetCallTimeout().AsDuration(),
-		only(identity, file.GetTls().GetPlatform()).ClientCredentials())
+		identityIf(identity, file.GetTls().GetPlatform()).ClientCredentials())
 	if err != nil {
 		return err
 	}
 	defer func() { _ = client.Close() }()
-	leafs := leaf.NewGRPC(only(identity, file.GetTls().GetLeaves()).ClientCredentials())
+	leafs := leaf.NewGRPC(identityIf(identity, file.GetTls().GetLeaves()).ClientCredentials())
 	defer leafs.Close()
 	peers := peer.NewDRPC(file.GetTraffic().GetForwardTimeout().AsDuration(), identity)
 	defer func() { _ = peers.Close() }()
@@ -50,9 +50,10 @@
 	return entry.New(file, edges, incarnation, log).Run(stopSignal())
 }
 
-// only returns the identity for an edge that uses TLS, and none otherwise.
-func only(identity *secure.Identity, used bool) *secure.Identity {
-	if used {
+// identityIf returns identity if useTLS is set, and nil otherwise, which selects
+// plaintext connections.
+func identityIf(identity *secure.Identity, useTLS bool) *secure.Identity {
+	if useTLS {
 		return identity
 	}
 	return nil
--- a/cmd/mallowgap/explain.go
+++ b/cmd/mallowgap/explain.go
@@ -9,17 +9,17 @@
 )
 
 type explainCommand struct {
-	Summary    bool `long:"summary" description:"Count what became of all requests, by route, cause and time; give log files only."`
-	Quarantine bool `long:"quarantine" description:"Tell of the requests under which servers ended; give log files only."`
+	Summary    bool `long:"summary" description:"Count the outcomes of all requests by route, cause and time; pass log files only."`
+	Quarantine bool `long:"quarantine" description:"Report the requests during which servers crashed; pass log files only."`
 	Args       struct {
 		Words []string `positional-arg-name:"REQUEST-ID LOG" description:"Identifier of the request, then the log files of the hosts." required:"1"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// errNoLog says that a request was named but no log.
-var errNoLog = errors.New("no log is given: name the log files of the hosts after the identifier")
+// errNoLog reports a command line with a request identifier but no log file.
+var errNoLog = errors.New("no log file given: list the log files of the hosts after the request identifier")
 
-// Execute prints what the logs tell of a request, or of all.
+// Execute prints the history of one request, or a report over all requests.
 func (c *explainCommand) Execute([]string) error {
 	if c.Summary {
 		lines, err := readLogs(c.Args.Words)
@@ -64,15 +64,15 @@
 func readLog(path string) ([]explain.Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("read a log: %w: give the path of a readable file", err)
+		return nil, fmt.Errorf("open a log file: %w: pass the path of a readable file", err)
 	}
 	defer func() { _ = file.Close() }()
 	lines, skipped, err := explain.Read(file)
 	if err != nil {
-		return nil, fmt.Errorf("read the log %s: %w", path, err)
+		return nil, fmt.Errorf("read log file %s: %w", path, err)
 	}
 	if skipped > 0 {
-		fmt.Fprintf(os.Stderr, "%s: %d lines are not of a gateway's log\n", path, skipped)
+		fmt.Fprintf(os.Stderr, "%s: skipped %d lines that are not gateway log lines\n", path, skipped)
 	}
 	return lines, nil
 }
--- a/cmd/mallowgap/gateway.go
+++ b/cmd/mallowgap/gateway.go
@@ -19,23 +19,25 @@
 )
 
 const (
-	// memoryShare is the share of the host's memory at which the collector
-	// starts to work harder; the rest is for what it does not count.
-	memoryShare = 0.6
-	// peerDialTimeout bounds a new connection to a peer: a few round trips
-	// between regions.
+	// memoryLimitShare is the share of the host's memory that is set as the
+	// soft memory limit of the Go runtime; the rest is for memory that the
+	// runtime does not count.
+	memoryLimitShare = 0.6
+	// peerDialTimeout bounds the dial of a peer, at a few round trips between
+	// regions.
 	peerDialTimeout = 250 * time.Millisecond
-	// logBuffer is the number of log lines held while standard output is slow.
-	logBuffer = 2000
+	// logBufferLines is the number of log lines buffered while standard output
+	// is slow.
+	logBufferLines = 2000
 )
 
 type gatewayCommand struct {
 	Args struct {
-		File string `positional-arg-name:"FILE" description:"Settings file (INI); by default the one that MALLOWGAP_SETTINGS names."`
+		File string `positional-arg-name:"FILE" description:"Settings file (INI); defaults to the path in MALLOWGAP_SETTINGS."`
 	} `positional-args:"yes"`
 }
 
-// Execute runs a gateway until it is told to stop.
+// Execute runs a gateway until a stop signal arrives.
 func (c *gatewayCommand) Execute([]string) error {
 	path := c.Args.File
 	if path == "" {
@@ -45,28 +47,28 @@
 	if err := settings.LoadGateway(path, file); err != nil {
 		return err
 	}
-	out := bounded(os.Stdout)
+	out := nonBlockingWriter(os.Stdout)
 	defer func() { _ = out.Close() }()
 	log, err := obs.NewLogger(out, file.GetLog().GetLevel(), file.GetHost().GetName())
 	if err != nil {
 		return fmt.Errorf("[log] level: %w", err)
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(file.GetHost().GetMemoryMb()<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(file.GetHost().GetMemoryMb()<<20)))
 	leafs := platform.NewLeafs()
 	peers := peer.NewDRPC(peerDialTimeout, nil)
 	defer func() { _ = peers.Close() }()
 	g := gateway.New(file, gateway.Edges{
 		Store: platform.NewStore(file.GetStore().GetAddress(), file.GetStore().GetCallTimeout().AsDuration()), Leafs: leafs, Peers: peers,
 	}, log)
-	go followReload(path, log)
+	go checkSettingsOnHangup(path, log)
 	return g.Run(stopSignal(), gateway.Handlers{
 		Callers: platform.CallerHandler(g), Ready: platform.ReadyHandler(g), Sweep: leafs.Sweep,
 	})
 }
 
-// bounded returns a writer that never blocks: lines that do not fit while w is
-// slow are dropped and counted.
-func bounded(w io.Writer) io.WriteCloser {
+// nonBlockingWriter returns a writer that never blocks: lines that do not fit
+// its buffer while w is slow are dropped and counted.
+func nonBlockingWriter(w io.Writer) io.WriteCloser {
 	dropped := metrics.GetOrCreateCounter("mallowgap_log_lines_dropped_total")
-	return diode.NewWriter(w, logBuffer, 0, func(missed int) { dropped.Add(missed) })
+	return diode.NewWriter(w, logBufferLines, 0, func(missed int) { dropped.Add(missed) })
 }
--- a/cmd/mallowgap/gateway_test.go
+++ b/cmd/mallowgap/gateway_test.go
@@ -8,20 +8,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuck is a writer whose reader stopped reading.
-type stuck struct{ release chan struct{} }
+// blockedWriter blocks every write until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
-	<-s.release
+func (b blockedWriter) Write(p []byte) (int, error) {
+	<-b.release
 	return len(p), nil
 }
 
+// Logging must not block request handling while standard output is not read.
 func TestLogNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := stuck{make(chan struct{})}
-		w := bounded(out)
+		out := blockedWriter{make(chan struct{})}
+		w := nonBlockingWriter(out)
 		start := time.Now()
-		for range 10 * logBuffer {
+		for range 10 * logBufferLines {
 			_, err := w.Write([]byte("a line\n"))
 			assert.NilError(t, err)
 		}
--- a/cmd/mallowgap/operator.go
+++ b/cmd/mallowgap/operator.go
@@ -19,21 +19,21 @@
 
 type operatorCommand struct {
 	Get    getCommand    `command:"get" description:"Print the configuration in force as JSON"`
-	Apply  applyCommand  `command:"apply" description:"Replace the configuration by that of a JSON file"`
+	Apply  applyCommand  `command:"apply" description:"Replace the configuration with a JSON file"`
 	Wait   waitCommand   `command:"wait" description:"Wait until a revision is in force at every live entry host"`
 	Status statusCommand `command:"status" description:"Print members, homes and revisions"`
 }
 
-// target is the entry host to ask.
+// target holds the flags of commands that call an entry host or a stand-in.
 type target struct {
-	Address string        `long:"address" required:"yes" description:"Callers address of an entry host, IP:port."`
-	CA      string        `long:"ca" description:"Authorities of the host (PEM file); TLS is off without."`
-	Cert    string        `long:"cert" description:"Certificate to prove oneself with (PEM file)."`
-	Key     string        `long:"key" description:"Key of the certificate (PEM file)."`
-	Timeout time.Duration `long:"timeout" default:"10s" description:"Longest wait."`
+	Address string        `long:"address" required:"yes" description:"Address to call, IP:port: the callers address of an entry host or the control address of a stand-in."`
+	CA      string        `long:"ca" description:"CA certificates to verify the host with (PEM file); TLS is off if not given."`
+	Cert    string        `long:"cert" description:"Client certificate (PEM file)."`
+	Key     string        `long:"key" description:"Key of the client certificate (PEM file)."`
+	Timeout time.Duration `long:"timeout" default:"10s" description:"Time limit of the whole command."`
 }
 
-// dial connects to the target; the context ends with the timeout.
+// dial connects to the target. The returned context expires after the timeout.
 func (t target) dial() (*grpc.ClientConn, context.Context, context.CancelFunc, error) {
 	identity, err := secure.Load(secure.Files{Cert: t.Cert, Key: t.Key, CA: t.CA})
 	if err != nil {
@@ -70,8 +70,8 @@
 
 type applyCommand struct {
 	target
-	Expect   uint64 `long:"expect" description:"Revision the change was made from; 0 for the first."`
-	ChangeID string `long:"change-id" description:"Unique name of the change; repeat it to learn the fate of a change."`
+	Expect   uint64 `long:"expect" description:"Revision that the change is based on; 0 for the first configuration."`
+	ChangeID string `long:"change-id" description:"Unique identifier of the change; apply again with the same one to learn whether a change was accepted."`
 	Wait     bool   `long:"wait" description:"Wait until the change is in force everywhere."`
 	Args     struct {
 		File string `positional-arg-name:"FILE" description:"Configuration as JSON."`
@@ -95,7 +95,7 @@
 	client := operatorpb.NewOperatorClient(conn)
 	reply, err := client.Apply(ctx, &operatorpb.ApplyRequest{ExpectRevision: c.Expect, ChangeId: c.ChangeID, Config: next}, grpc.WaitForReady(true))
 	if err != nil {
-		return fmt.Errorf("%w: apply again with --change-id %s to learn the fate of the change", err, c.ChangeID)
+		return fmt.Errorf("%w: apply again with --change-id %s to learn whether the change was accepted", err, c.ChangeID)
 	}
 	if reply.GetOutcome() != operatorpb.ApplyOutcome_ACCEPTED {
 		return fmt.Errorf("%s: %s (change-id %s)", reply.GetOutcome(), reply.GetMessage(), c.ChangeID)
@@ -127,7 +127,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute waits for a revision.
+// Execute waits until a revision is in force everywhere.
 func (c *waitCommand) Execute([]string) error {
 	conn, ctx, cancel, err := c.dial()
 	if err != nil {
@@ -144,7 +144,7 @@
 		return err
 	}
 	if !reply.GetInForce() {
-		return errors.New("not known to be in force at: " + strings.Join(reply.GetMissing(), ", "))
+		return errors.New("revision is not confirmed in force at: " + strings.Join(reply.GetMissing(), ", "))
 	}
 	fmt.Printf("in force everywhere after %v\n", time.Since(begin).Round(time.Millisecond))
 	return nil
@@ -152,7 +152,7 @@
 
 type statusCommand struct{ target }
 
-// Execute prints the status.
+// Execute prints the status that the entry host reports.
 func (c *statusCommand) Execute([]string) error {
 	conn, ctx, cancel, err := c.dial()
 	if err != nil {
--- a/cmd/mallowgap/quarantine.go
+++ b/cmd/mallowgap/quarantine.go
@@ -16,14 +16,15 @@
 )
 
 type quarantineCommand struct {
-	List  listQuarantineCommand  `command:"list" description:"Print the requests under which servers ended, and what is done with them"`
-	Clear clearQuarantineCommand `command:"clear" description:"Let a request run again on all hosts"`
+	List  listQuarantineCommand  `command:"list" description:"Print the requests during which servers crashed, with their quarantine state"`
+	Clear clearQuarantineCommand `command:"clear" description:"Remove a request from quarantine on all hosts"`
 }
 
-// storeTarget is the store that holds the records of all hosts.
+// storeTarget holds the flags that address the platform's store, where all
+// hosts keep their quarantine records.
 type storeTarget struct {
 	Address string        `long:"store" required:"yes" description:"Address of the platform's store, IP:port."`
-	Timeout time.Duration `long:"timeout" default:"5s" description:"Longest wait for each call."`
+	Timeout time.Duration `long:"timeout" default:"5s" description:"Timeout of each call."`
 }
 
 type listQuarantineCommand struct{ storeTarget }
@@ -31,18 +32,18 @@
 type clearQuarantineCommand struct {
 	storeTarget
 	Args struct {
-		Fingerprint string `positional-arg-name:"FINGERPRINT" description:"The request, as the list and the log lines name it."`
+		Fingerprint string `positional-arg-name:"FINGERPRINT" description:"Fingerprint of the request, as in the list and in the log lines."`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// records returns the entries of the store about requests under which servers ended.
+// records returns the quarantine entries in the store.
 func (s storeTarget) records() ([]control.Entry, error) {
-	reading, err := platform.NewStore(s.Address, s.Timeout).Read(context.Background())
+	contents, err := platform.NewStore(s.Address, s.Timeout).Read(context.Background())
 	if err != nil {
-		return nil, fmt.Errorf("read the store at %s: %w: give the address that [store] of the hosts' settings names", s.Address, err)
+		return nil, fmt.Errorf("read the store at %s: %w: pass the address given in [store] of the gateway settings", s.Address, err)
 	}
 	var records []control.Entry
-	for _, e := range reading.Entries {
+	for _, e := range contents.Entries {
 		if e.Kind == relaypb.EntryKind_QUARANTINE {
 			records = append(records, e)
 		}
@@ -50,7 +51,8 @@
 	return records, nil
 }
 
-// Execute prints a table.
+// Execute prints a table with a row for each fingerprint. Records that cannot be
+// decoded are reported on standard error.
 func (c *listQuarantineCommand) Execute([]string) error {
 	records, err := c.records()
 	if err != nil {
@@ -71,7 +73,7 @@
 	return t.Flush()
 }
 
-// Execute removes what all hosts have on a request.
+// Execute removes the records of all hosts about a request.
 func (c *clearQuarantineCommand) Execute([]string) error {
 	f, err := quarantine.Parse(c.Args.Fingerprint)
 	if err != nil {
@@ -88,16 +90,16 @@
 		}
 	}
 	if len(names) == 0 {
-		return fmt.Errorf("nothing is held against %v: see the list", f)
+		return fmt.Errorf("no quarantine record of %v: run mallowgap quarantine list to see all", f)
 	}
 	store := platform.NewStore(c.Address, c.Timeout)
 	for len(names) > 0 {
 		n := min(len(names), control.MaxWrites)
 		if _, err := store.Write(context.Background(), relaypb.EntryKind_QUARANTINE, 0, nil, names[:n]); err != nil {
-			return fmt.Errorf("clear %v: %w: try again", f, err)
+			return fmt.Errorf("clear quarantine of %v: %w: try again", f, err)
 		}
 		names = names[n:]
 	}
-	fmt.Printf("%v is cleared: all hosts know within seconds\n", f)
+	fmt.Printf("%v is cleared; all hosts learn of it within seconds\n", f)
 	return nil
 }
--- a/cmd/mallowgap/quarantine_test.go
+++ b/cmd/mallowgap/quarantine_test.go
@@ -15,7 +15,8 @@
 	"github.com/mallowgap/mallowgap/quarantine"
 )
 
-// An operator clears one request, and no other; an unknown one is said to be unknown.
+// Clearing removes the records of one fingerprint only; a fingerprint without
+// records or with bad syntax is an error.
 func TestQuarantineIsClearedByHand(t *testing.T) {
 	one, other := quarantine.Of(quarantine.Content{Target: "/one"}), quarantine.Of(quarantine.Content{Target: "/other"})
 	value, err := proto.Marshal(&relaypb.QuarantineRecord{Servers: []string{"a", "b", "c"}, Ended: 3, TrialServers: []string{"b", "c"}})
@@ -47,7 +48,7 @@
 	assert.DeepEqual(t, removed, []string{"mallowgap/quarantine/" + quarantine.RecordName(one, "h1"), "mallowgap/quarantine/" + quarantine.RecordName(one, "h2")})
 
 	clearOne.Args.Fingerprint = quarantine.Of(quarantine.Content{Target: "/none"}).String()
-	assert.ErrorContains(t, clearOne.Execute(nil), "nothing is held")
+	assert.ErrorContains(t, clearOne.Execute(nil), "no quarantine record")
 	clearOne.Args.Fingerprint = "odd"
 	assert.ErrorContains(t, clearOne.Execute(nil), "no fingerprint")
 }
--- a/cmd/mallowgap/reload.go
+++ b/cmd/mallowgap/reload.go
@@ -11,18 +11,18 @@
 	"github.com/mallowgap/mallowgap/internal/settings"
 )
 
-// followReload reads the settings file again at each hangup signal. What it
-// says of limits and addresses takes effect at the next start; a file with
-// faults is reported and changes nothing.
-func followReload(path string, log zerolog.Logger) {
+// checkSettingsOnHangup validates the settings file on each SIGHUP and logs the
+// result. The running process keeps its settings; changes take effect at the
+// next start.
+func checkSettingsOnHangup(path string, log zerolog.Logger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	for range hangups {
 		file := &settingspb.Gateway{}
 		if err := settings.LoadGateway(path, file); err != nil {
-			log.Error().Err(err).Msg("settings cannot be read again; those in force stay")
+			log.Error().Err(err).Msg("settings file is invalid; the settings in force stay")
 			continue
 		}
-		log.Info().Msg("settings read again: they are valid and take effect at the next start")
+		log.Info().Msg("settings file is valid; changes take effect at the next start")
 	}
 }
--- a/cmd/mallowgap/settings.go
+++ b/cmd/mallowgap/settings.go
@@ -12,20 +12,21 @@
 )
 
 type settingsCommand struct {
-	Check     checkSettings `command:"check" description:"Check a settings file without starting anything"`
-	Print     printSettings `command:"print" description:"Print the settings in force with their defaults"`
-	Reference settingsRef   `command:"reference" description:"Print the reference of all settings as Markdown"`
+	Check     checkSettings          `command:"check" description:"Check a settings file without starting anything"`
+	Print     printSettings          `command:"print" description:"Print the effective settings, defaults included"`
+	Reference printSettingsReference `command:"reference" description:"Print the reference of all settings as Markdown"`
 }
 
-// settingsFile is a file and its kind.
+// settingsFile holds the flags that name a settings file and its kind.
 type settingsFile struct {
-	Scenario bool `long:"scenario" description:"The file is a load scenario, not that of an entry host."`
-	Gateway  bool `long:"gateway" description:"The file is that of a gateway."`
+	Scenario bool `long:"scenario" description:"The file is a load scenario, not the settings of an entry host."`
+	Gateway  bool `long:"gateway" description:"The file holds the settings of a gateway."`
 	Args     struct {
 		File string `positional-arg-name:"FILE"`
 	} `positional-args:"yes" required:"yes"`
 }
 
+// load reads and validates the file.
 func (f settingsFile) load() (proto.Message, error) {
 	if f.Scenario {
 		scenario := &settingspb.Scenario{}
@@ -41,7 +42,7 @@
 
 type checkSettings struct{ settingsFile }
 
-// Execute checks a settings file.
+// Execute validates a settings file.
 func (c *checkSettings) Execute([]string) error {
 	if _, err := c.load(); err != nil {
 		return err
@@ -52,25 +53,25 @@
 
 type printSettings struct{ settingsFile }
 
-// Execute prints the settings in force.
+// Execute prints the effective settings.
 func (c *printSettings) Execute([]string) error {
-	target, err := c.load()
+	message, err := c.load()
 	if err != nil {
 		return err
 	}
-	settings.Print(os.Stdout, target)
+	settings.Print(os.Stdout, message)
 	return nil
 }
 
-type settingsRef struct{}
+type printSettingsReference struct{}
 
 // Execute prints the reference of all settings.
-func (*settingsRef) Execute([]string) error {
+func (*printSettingsReference) Execute([]string) error {
 	writeReference(os.Stdout)
 	return nil
 }
 
-// writeReference writes the page docs/SETTINGS.md.
+// writeReference writes the contents of docs/SETTINGS.md.
 func writeReference(w io.Writer) {
 	fmt.Fprint(w, "# Settings\n\nMade from `api/settingspb/settings.proto` by `mallowgap settings reference`.\n\n")
 	settings.Markdown(w, "Entry host", (&settingspb.Entry{}).ProtoReflect().Descriptor())
--- a/cmd/mallowgap/settings_test.go
+++ b/cmd/mallowgap/settings_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The page once named a default that had changed.
-func TestSettingsPageIsTrue(t *testing.T) {
+// The committed settings page matches the settings schema.
+func TestSettingsPageIsUpToDate(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	assert.NilError(t, err)
 	var reference bytes.Buffer
--- a/cmd/mallowgap/standin.go
+++ b/cmd/mallowgap/standin.go
@@ -14,26 +14,26 @@
 )
 
 type standinCommand struct {
-	Leaf     leafCommand     `command:"leaf" description:"Run the backend servers of a deployment, or a part of them"`
-	Platform platformCommand `command:"platform" description:"Run the platform's key-value service and host list"`
+	Leaf     leafCommand     `command:"leaf" description:"Run all or some backend servers of a deployment"`
+	Platform platformCommand `command:"platform" description:"Run a stand-in for the platform's key-value service and host list"`
 	Shape    shapeCommand    `command:"shape" description:"Print the configuration of a deployment as JSON"`
 	Fault    faultCommand    `command:"fault" description:"Change the faults of a running stand-in"`
 	Counters countersCommand `command:"counters" description:"Print the counters of a running stand-in"`
 }
 
-// deployment names the leaves of a deployment.
-type deployment struct {
-	Deployment string `long:"deployment" default:"trinacria" description:"trinacria or veerik."`
-	Base       int    `long:"base" default:"21000" description:"First port of the leaves."`
+// deploymentFlags name a deployment and the ports of its leaves.
+type deploymentFlags struct {
+	Deployment string `long:"deployment" default:"trinacria" description:"Name of the deployment: trinacria or veerik."`
+	Base       int    `long:"base" default:"21000" description:"Port of the first leaf; the others follow."`
 }
 
 type shapeCommand struct {
-	deployment
-	Homes uint32 `long:"homes" default:"1" description:"Entry hosts that carry each service."`
-	Epoch uint64 `long:"epoch" default:"1" description:"Epoch of the shard maps; shards are named by it."`
+	deploymentFlags
+	Homes uint32 `long:"homes" default:"1" description:"Number of entry hosts that serve as homes of each service."`
+	Epoch uint64 `long:"epoch" default:"1" description:"Epoch of the shard maps; above 1 it is part of the shard names."`
 }
 
-// Execute prints a configuration.
+// Execute prints the configuration of a deployment.
 func (c *shapeCommand) Execute([]string) error {
 	d, err := standin.FindDeployment(c.Deployment)
 	if err != nil {
@@ -54,16 +54,16 @@
 }
 
 type leafCommand struct {
-	deployment
-	Control string        `long:"control" required:"yes" description:"Address for control calls."`
-	Part    int           `long:"part" default:"0" description:"Part of the leaves that this process runs."`
-	Parts   int           `long:"parts" default:"1" description:"Number of parts."`
-	Record  bool          `long:"record" description:"Keep every execution, to verify replies."`
-	Faults  string        `long:"faults" description:"Faults of all leaves at the start, as JSON (see LeafFaults in api/platformpb/platform.proto)."`
-	Service time.Duration `long:"service-time" description:"Mean service time instead of the deployment's."`
+	deploymentFlags
+	Control string        `long:"control" required:"yes" description:"Address to serve control calls on."`
+	Part    int           `long:"part" default:"0" description:"Which part of the leaves this process runs, from 0 to parts-1."`
+	Parts   int           `long:"parts" default:"1" description:"Number of processes that share the leaves."`
+	Record  bool          `long:"record" description:"Record every execution, to verify replies."`
+	Faults  string        `long:"faults" description:"Initial faults of all leaves, as JSON (see LeafFaults in api/platformpb/platform.proto)."`
+	Service time.Duration `long:"service-time" description:"Mean service time; replaces that of the deployment."`
 }
 
-// Execute runs leaves until the process is told to stop.
+// Execute runs leaves until a stop signal arrives.
 func (c *leafCommand) Execute([]string) error {
 	d, err := standin.FindDeployment(c.Deployment)
 	if err != nil {
@@ -99,10 +99,10 @@
 type platformCommand struct {
 	Listen string        `long:"listen" required:"yes" description:"Address to serve on."`
 	Lag    time.Duration `long:"lag" default:"2s" description:"Lag of the host list."`
-	Faults string        `long:"faults" description:"Faults at the start, as JSON (see PlatformFaults in api/platformpb/platform.proto)."`
+	Faults string        `long:"faults" description:"Initial faults, as JSON (see PlatformFaults in api/platformpb/platform.proto)."`
 }
 
-// Execute runs the platform until the process is told to stop.
+// Execute runs the platform until a stop signal arrives.
 func (c *platformCommand) Execute([]string) error {
 	faults := &platformpb.PlatformFaults{HostListLagMs: uint32(c.Lag.Milliseconds())}
 	if err := parseFaults(c.Faults, faults); err != nil {
@@ -116,6 +116,7 @@
 	return serveUntilStopped(server, c.Listen)
 }
 
+// serveUntilStopped serves on address until a stop signal arrives.
 func serveUntilStopped(server *grpc.Server, address string) error {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
@@ -131,13 +132,13 @@
 
 type faultCommand struct {
 	target
-	Platform bool `long:"platform" description:"The stand-in is a platform, not leaves."`
+	Platform bool `long:"platform" description:"The stand-in is the platform, not leaves."`
 	Args     struct {
 		JSON string `positional-arg-name:"JSON" description:"Faults, such as {\"slowFactor\": 10, \"address\": \"127.0.0.1:21000\"}."`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute changes faults.
+// Execute sets the faults of a running stand-in.
 func (c *faultCommand) Execute([]string) error {
 	conn, ctx, cancel, err := c.dial()
 	if err != nil {
@@ -161,23 +162,23 @@
 	return err
 }
 
-// parseFaults reads faults from JSON over what target holds; no text changes
-// nothing.
+// parseFaults merges faults given as JSON into target. Empty text leaves target
+// unchanged.
 func parseFaults(text string, target proto.Message) error {
 	if text == "" {
 		return nil
 	}
-	given := target.ProtoReflect().New().Interface()
-	if err := protojson.Unmarshal([]byte(text), given); err != nil {
+	parsed := target.ProtoReflect().New().Interface()
+	if err := protojson.Unmarshal([]byte(text), parsed); err != nil {
 		return fmt.Errorf("faults: %w: see %s in api/platformpb/platform.proto", err, target.ProtoReflect().Descriptor().Name())
 	}
-	proto.Merge(target, given)
+	proto.Merge(target, parsed)
 	return nil
 }
 
 type countersCommand struct{ target }
 
-// Execute prints counters.
+// Execute prints the counters of a running stand-in.
 func (c *countersCommand) Execute([]string) error {
 	conn, ctx, cancel, err := c.dial()
 	if err != nil {
--- a/cmd/mallowgap/version.go
+++ b/cmd/mallowgap/version.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 )
 
-// version of the product.
+// version is the release version.
 const version = "0.1.0"
 
 type versionCommand struct{}
