--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// readyEvery is the interval at which readiness is read.
-	readyEvery = 200 * time.Millisecond
-	// readyTimeout bounds one reading.
-	readyTimeout = time.Second
+	// readinessInterval is the time between two readiness checks of a host.
+	readinessInterval = 200 * time.Millisecond
+	// readinessTimeout bounds one readiness check.
+	readinessTimeout = time.Second
 )
 
-// backend is one entry host as the balancer sees it.
+// backend is an entry host with its readiness.
 type backend struct {
 	conns []callerpb.QueryClient
-	// readiness is the URL asked, or empty for a host that is always ready.
-	readiness string
-	ready     atomic.Bool
+	// readyAddress is the HTTP address of the readiness check, or empty for a
+	// host that always counts as ready.
+	readyAddress string
+	ready        atomic.Bool
 }
 
-// balancer stands for the platform's balancer: it sends to hosts that are
-// ready, as it last read it.
+// balancer simulates the platform's load balancer: it sends requests to hosts
+// that passed their last readiness check.
 type balancer struct {
 	backends []*backend
 }
 
-// pick returns a connection to a ready host, or to any if none is.
+// pick returns a connection to a random ready host, or to any host if none is
+// ready.
 func (b *balancer) pick() callerpb.QueryClient {
 	start := rand.IntN(len(b.backends))
 	chosen := b.backends[start]
@@ -46,21 +48,21 @@
 	return chosen.conns[rand.IntN(len(chosen.conns))]
 }
 
-// follow reads the readiness of all hosts until ctx ends.
-func (b *balancer) follow(ctx context.Context) {
+// pollReadiness checks the readiness of all hosts until ctx is cancelled.
+func (b *balancer) pollReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, backend := range b.backends {
-			backend.ready.Store(backend.readiness == "" || isReady(ctx, backend.readiness))
+			backend.ready.Store(backend.readyAddress == "" || isReady(ctx, backend.readyAddress))
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(readyEvery):
+		case <-time.After(readinessInterval):
 		}
 	}
 }
 
 func isReady(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readinessTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/readyz", address), nil)
 	if err != nil {
--- a/internal/load/direct.go
+++ b/internal/load/direct.go
@@ -14,33 +14,34 @@
 	"github.com/mallowgap/mallowgap/internal/leaf"
 )
 
-// direct asks the leaves without the tier: any replica of each shard, all
-// shards waited for, nothing repeated. It is the baseline of the tier's own cost.
-type direct struct {
+// directClient queries the leaves without the tier: a random replica of each
+// shard, without retries or an early answer. It is the baseline for the overhead
+// of the tier.
+type directClient struct {
 	leaves   *leaf.GRPC
 	services map[string]*configpb.Service
 }
 
-func newDirect(c *configpb.Config) *direct {
-	d := &direct{leaves: leaf.NewGRPC(insecure.NewCredentials()), services: map[string]*configpb.Service{}}
+func newDirectClient(c *configpb.Config) *directClient {
+	d := &directClient{leaves: leaf.NewGRPC(insecure.NewCredentials()), services: map[string]*configpb.Service{}}
 	for _, s := range c.GetServices() {
 		d.services[s.GetName()] = s
 	}
 	return d
 }
 
-// shardReply is what came for one shard.
+// shardReply is the reply or error of one shard.
 type shardReply struct {
 	shard string
 	reply *leafpb.ExecuteReply
 	err   error
 }
 
-// Ask implements callerpb.QueryClient.
-func (d *direct) Ask(ctx context.Context, ask *callerpb.AskRequest, _ ...grpc.CallOption) (*callerpb.AskReply, error) {
+// Ask implements callerpb.QueryClient. Shards that fail are reported as missing.
+func (d *directClient) Ask(ctx context.Context, ask *callerpb.AskRequest, _ ...grpc.CallOption) (*callerpb.AskReply, error) {
 	s := d.services[ask.GetService()]
 	if s == nil {
-		return nil, fmt.Errorf("service %q is not in the configuration: correct the scenario", ask.GetService())
+		return nil, fmt.Errorf("service %q is not in the configuration: correct the scenario or the file given to --direct", ask.GetService())
 	}
 	replies := make(chan shardReply, len(s.GetShards()))
 	for _, shard := range s.GetShards() {
--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,5 +1,5 @@
-// Package load sends an open-loop load by a scenario, brings the scenario's
-// faults about in the stand-ins, checks every reply, and reports latency,
-// coverage, extra load and refusals by class. Latency counts from the time at
-// which a request was due, not from when it was sent.
+// Package load generates the open-loop load of a scenario, injects the
+// scenario's faults into the stand-ins, checks every reply, and reports latency,
+// coverage, extra load and refusals by class. Latency is measured from the
+// scheduled send time of a request, which avoids coordinated omission.
 package load
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -11,39 +11,43 @@
 	"github.com/mallowgap/mallowgap/config"
 )
 
-// fault begins a fault at its time and ends it.
-func (r *runner) fault(ctx context.Context, f *settingspb.FaultSection, begin time.Time) {
+// runFault starts a fault at its time after begin and ends it, unless the fault
+// has no end.
+func (r *runner) runFault(ctx context.Context, f *settingspb.FaultSection, begin time.Time) {
 	if config.Sleep(ctx, time.Until(begin.Add(f.GetAt().AsDuration()))) != nil {
 		return
 	}
-	r.set(ctx, f, true)
+	r.setFault(ctx, f, true)
 	until := f.GetUntil().AsDuration()
 	if until <= 0 {
 		return
 	}
 	_ = config.Sleep(ctx, time.Until(begin.Add(until)))
-	r.set(ctx, f, false)
+	r.setFault(ctx, f, false)
 }
 
-func (r *runner) set(ctx context.Context, f *settingspb.FaultSection, on bool) {
+// setFault sets or clears a fault in the stand-ins. Errors of control calls are
+// ignored: only one of the leaf processes runs the target, and the others fail.
+func (r *runner) setFault(ctx context.Context, f *settingspb.FaultSection, active bool) {
 	if f.GetKind() == "outage" {
 		if r.platform != nil {
-			_, _ = r.platform.SetPlatformFaults(ctx, &platformpb.PlatformFaults{Outage: on})
+			_, _ = r.platform.SetPlatformFaults(ctx, &platformpb.PlatformFaults{Outage: active})
 		}
 		return
 	}
 	for _, target := range strings.Split(f.GetTarget(), ",") {
 		faults := &platformpb.LeafFaults{Address: strings.TrimSpace(target)}
-		if on {
-			apply(f, faults)
+		if active {
+			fillLeafFaults(f, faults)
 		}
-		for _, c := range r.controls {
+		for _, c := range r.leafControls {
 			_, _ = c.SetLeafFaults(ctx, faults)
 		}
 	}
 }
 
-func apply(f *settingspb.FaultSection, faults *platformpb.LeafFaults) {
+// fillLeafFaults sets the fields of faults that f asks for.
+func fillLeafFaults(f *settingspb.FaultSection, faults *platformpb.LeafFaults) {
 	switch f.GetKind() {
 	case "slow":
 		faults.SlowFactor = f.GetFactor()
--- a/internal/load/plots.go
+++ b/internal/load/plots.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// curve is what one plot shows of an interval.
+// curve describes one plot: a value of each interval over time.
 type curve struct {
 	file, title, unit string
 	value             func(*Interval) float64
@@ -25,17 +25,17 @@
 	{"refusals.svg", "requests without an answer", "requests", func(i *Interval) float64 { return float64(i.Refused) }},
 }
 
-// plotWidth and plotHeight are the size of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 3 * vg.Inch
 )
 
-// WritePlots writes a plot over time for each measure, and one HTML page that
-// holds them with the table.
+// WritePlots writes one SVG plot for each curve to dir, and an HTML page with the
+// table and all plots.
 func (r *Report) WritePlots(dir, title string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("plots: %w: choose a directory that can be written", err)
+		return fmt.Errorf("create the plots directory: %w: choose a writable directory", err)
 	}
 	var page strings.Builder
 	var table strings.Builder
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -13,35 +13,43 @@
 )
 
 const (
-	maxLatency = int64(60 * time.Second / time.Microsecond)
-	// microsPerMilli converts the histograms' microseconds.
+	// maxLatencyMicros is the largest latency that the histograms record;
+	// longer ones count as this.
+	maxLatencyMicros = int64(60 * time.Second / time.Microsecond)
+	// microsPerMilli converts the microseconds of the histograms.
 	microsPerMilli = 1000.0
 )
 
-// Class is what was seen of one class of a scenario.
+// Class holds the results of one class of a scenario.
 type Class struct {
-	Name      string
-	Sent      int
-	Answered  int
-	InTime    int
-	NotRun    int
-	Unknown   int
-	Cut       int
-	Wrong     []string
-	Reasons   map[string]int
-	latency   *hdrhistogram.Histogram
-	coverage  float64
-	Intervals []Interval
+	Name     string
+	Sent     int
+	Answered int
+	// InTime counts the answers within the deadline.
+	InTime  int
+	NotRun  int
+	Unknown int
+	// Cut counts the requests that got no reply.
+	Cut int
+	// Wrong describes the answers that failed Check.
+	Wrong []string
+	// Reasons counts the requests without an answer, by reason.
+	Reasons map[string]int
+	// latency holds the latencies of answers, in microseconds.
+	latency *hdrhistogram.Histogram
+	// coverageSum adds up the coverage of the answers, each from 0 to 1.
+	coverageSum float64
+	Intervals   []Interval
 }
 
-// Interval is one step of the plots.
+// Interval holds the results of one step of the plots.
 type Interval struct {
 	Sent, Answered, Refused int
-	coverage                float64
+	coverageSum             float64
 	latency                 *hdrhistogram.Histogram
 }
 
-// Quantile returns the latency of answers at a quantile (0 to 100), in ms.
+// Quantile returns the latency of answers at percentile q (0 to 100), in ms.
 func (c *Class) Quantile(q float64) float64 {
 	return float64(c.latency.ValueAtQuantile(q)) / microsPerMilli
 }
@@ -51,10 +59,10 @@
 	if c.Answered == 0 {
 		return 0
 	}
-	return c.coverage / float64(c.Answered)
+	return c.coverageSum / float64(c.Answered)
 }
 
-// P99 returns the 99th percentile of an interval, in ms.
+// P99 returns the 99th percentile of the latency of answers, in ms.
 func (i *Interval) P99() float64 {
 	if i.latency == nil {
 		return 0
@@ -62,26 +70,26 @@
 	return float64(i.latency.ValueAtQuantile(99)) / microsPerMilli
 }
 
-// Coverage returns the mean coverage of an interval, 0 to 1.
+// Coverage returns the mean coverage of the answers, 0 to 1.
 func (i *Interval) Coverage() float64 {
 	if i.Answered == 0 {
 		return 0
 	}
-	return i.coverage / float64(i.Answered)
+	return i.coverageSum / float64(i.Answered)
 }
 
-// Told is the last outcome that a desk was told about one request.
+// Told is the final outcome of a request, as reported to its desk.
 type Told struct {
 	Request       string
 	Outcome       callerpb.Outcome
 	NotRepeatable bool
 }
 
-// recorder collects what is seen, from many goroutines.
+// recorder collects results. It is safe for concurrent use.
 type recorder struct {
 	mu       sync.Mutex
 	classes  map[string]*Class
-	told     []Told
+	outcomes []Told
 	interval time.Duration
 }
 
@@ -89,17 +97,20 @@
 	r := &recorder{classes: map[string]*Class{}, interval: interval}
 	steps := int(duration/interval) + 1
 	for _, name := range names {
-		c := &Class{Name: name, Reasons: map[string]int{}, latency: hdrhistogram.New(1, maxLatency, 3), Intervals: make([]Interval, steps)}
+		c := &Class{Name: name, Reasons: map[string]int{}, latency: hdrhistogram.New(1, maxLatencyMicros, 3), Intervals: make([]Interval, steps)}
 		r.classes[name] = c
 	}
 	return r
 }
 
-// observation is the end of one request.
+// observation is the result of one request.
 type observation struct {
-	class    string
-	counted  bool
-	due      time.Duration
+	class string
+	// measured is false for requests of the warm-up.
+	measured bool
+	// due is the scheduled send time, from the start of the measured load.
+	due time.Duration
+	// took is the time from due to the end of the request.
 	took     time.Duration
 	deadline time.Duration
 	ask      *callerpb.AskRequest
@@ -110,9 +121,9 @@
 func (r *recorder) add(o observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	told := Told{Request: o.ask.GetRequestId(), Outcome: o.reply.GetOutcome(), NotRepeatable: o.ask.GetNotRepeatable()}
-	r.told = append(r.told, told)
-	if !o.counted {
+	outcome := Told{Request: o.ask.GetRequestId(), Outcome: o.reply.GetOutcome(), NotRepeatable: o.ask.GetNotRepeatable()}
+	r.outcomes = append(r.outcomes, outcome)
+	if !o.measured {
 		return
 	}
 	c := r.classes[o.class]
@@ -126,7 +137,7 @@
 	}
 	switch o.reply.GetOutcome() {
 	case callerpb.Outcome_ANSWERED:
-		r.answered(c, step, o)
+		r.addAnswer(c, step, o)
 	case callerpb.Outcome_NOT_RUN:
 		c.NotRun++
 		step.Refused++
@@ -138,40 +149,41 @@
 	}
 }
 
-func (r *recorder) answered(c *Class, step *Interval, o observation) {
+func (r *recorder) addAnswer(c *Class, step *Interval, o observation) {
 	c.Answered++
 	step.Answered++
 	if o.took <= o.deadline {
 		c.InTime++
 	}
-	if wrong := Check(o.ask, o.reply); wrong != "" {
-		c.Wrong = append(c.Wrong, wrong)
+	if mismatch := Check(o.ask, o.reply); mismatch != "" {
+		c.Wrong = append(c.Wrong, mismatch)
 	}
-	_ = c.latency.RecordValue(min(o.took.Microseconds(), maxLatency))
+	_ = c.latency.RecordValue(min(o.took.Microseconds(), maxLatencyMicros))
 	if step.latency == nil {
-		step.latency = hdrhistogram.New(1, maxLatency, 2)
+		step.latency = hdrhistogram.New(1, maxLatencyMicros, 2)
 	}
-	_ = step.latency.RecordValue(min(o.took.Microseconds(), maxLatency))
-	covered := float64(len(o.reply.GetCoverage().GetContributed()))
-	share := covered / (covered + float64(len(o.reply.GetCoverage().GetMissing())))
-	c.coverage += share
-	step.coverage += share
+	_ = step.latency.RecordValue(min(o.took.Microseconds(), maxLatencyMicros))
+	contributed := float64(len(o.reply.GetCoverage().GetContributed()))
+	share := contributed / (contributed + float64(len(o.reply.GetCoverage().GetMissing())))
+	c.coverageSum += share
+	step.coverageSum += share
 }
 
-// Check holds an answer against the rows that stand-in leaves give: one row
-// for each shard of the coverage, for this request, of the named snapshot.
+// Check compares an answer with the rows that stand-in leaves return: one row for
+// each shard of the coverage, of this request and of the snapshot of the reply.
+// It returns a description of the first difference, or an empty string.
 func Check(ask *callerpb.AskRequest, reply *callerpb.AskReply) string {
 	contributed := reply.GetCoverage().GetContributed()
 	if reply.GetRequestId() != ask.GetRequestId() {
-		return fmt.Sprintf("reply to %s came for %s", reply.GetRequestId(), ask.GetRequestId())
+		return fmt.Sprintf("received the reply to request %s for request %s", reply.GetRequestId(), ask.GetRequestId())
 	}
 	if len(contributed) != len(reply.GetRows()) {
-		return fmt.Sprintf("%s: %d rows for %d shards", ask.GetRequestId(), len(reply.GetRows()), len(contributed))
+		return fmt.Sprintf("request %s: %d rows for %d shards", ask.GetRequestId(), len(reply.GetRows()), len(contributed))
 	}
 	for i, shard := range contributed {
 		want := standin.Row(ask.GetRequestId(), shard, reply.GetSnapshot().GetEpoch(), reply.GetSnapshot().GetIndexVersion())
 		if string(reply.GetRows()[i]) != want {
-			return fmt.Sprintf("row %q where %q belongs", reply.GetRows()[i], want)
+			return fmt.Sprintf("got row %q, want %q", reply.GetRows()[i], want)
 		}
 	}
 	return ""
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -19,25 +19,26 @@
 )
 
 const (
-	// maxOutstanding bounds the requests that wait for an answer at a time.
-	maxOutstanding = 20000
+	// maxOutstandingPerClass bounds the requests of a class in flight.
+	maxOutstandingPerClass = 20000
 	// connsPerEntry is the number of connections to each entry host.
 	connsPerEntry = 2
-	// graceFactor times the deadline is how long a client waits for a reply.
-	graceFactor = 1.5
-	// resends is how often a non-repeatable request is sent again with its
-	// ticket while its outcome is unknown.
-	resends = 3
+	// abandonFactor is the multiple of the deadline after which a request is
+	// abandoned.
+	abandonFactor = 1.5
+	// maxResends bounds how often a non-repeatable request is sent again with
+	// its ticket while its outcome is unknown.
+	maxResends = 3
 )
 
-// Targets are the addresses that a run uses.
+// Targets holds the addresses that a run uses.
 type Targets struct {
-	// Entries are the entry hosts' callers addresses.
+	// Entries are the callers addresses of the entry hosts.
 	Entries []string
-	// Ready are the HTTP addresses of the same hosts, whose readiness is
-	// followed; empty means that all are ready.
+	// Ready are the HTTP addresses of the same hosts, in the same order, for
+	// readiness checks. A host without one always counts as ready.
 	Ready []string
-	// Direct, if not nil, is a configuration whose leaves are asked without
+	// Direct, if not nil, is a configuration whose leaves are queried without
 	// entry hosts.
 	Direct *configpb.Config
 	// LeafControls are the control addresses of stand-in leaf processes.
@@ -46,30 +47,37 @@
 	PlatformControl string
 }
 
-// Report is what one run showed.
+// Report holds the results of a run.
 type Report struct {
 	Classes []*Class
-	Told    []Told
-	// Executed and Shed are what the leaves counted during the run.
+	// Told holds the final outcome of every request, warm-up included.
+	Told []Told
+	// Executed and Shed count the requests that the leaves executed and shed
+	// during the run.
 	Executed, Shed uint64
+	// MaxInFlight and MaxConnections are the highest numbers at any one leaf
+	// since its start.
 	MaxInFlight    uint64
 	MaxConnections uint64
 	Duration       time.Duration
-	Interval       time.Duration
+	// Interval is the length of the intervals of the classes.
+	Interval time.Duration
 }
 
+// runner holds the state of one run.
 type runner struct {
-	scenario *settingspb.Scenario
-	balancer balancer
-	controls []platformpb.ControlClient
-	platform platformpb.ControlClient
-	recorder *recorder
-	run      string
+	scenario     *settingspb.Scenario
+	balancer     balancer
+	leafControls []platformpb.ControlClient
+	platform     platformpb.ControlClient
+	recorder     *recorder
+	// runID makes the request identifiers unique over runs.
+	runID string
 }
 
-// Run runs a scenario to its end.
+// Run runs a scenario and returns its results.
 func Run(ctx context.Context, scenario *settingspb.Scenario, targets Targets) (*Report, error) {
-	r := &runner{scenario: scenario, run: fmt.Sprintf("%x", time.Now().UnixNano())}
+	r := &runner{scenario: scenario, runID: fmt.Sprintf("%x", time.Now().UnixNano())}
 	if err := r.connect(targets); err != nil {
 		return nil, err
 	}
@@ -81,14 +89,14 @@
 	duration := scenario.GetRun().GetDuration().AsDuration()
 	interval := scenario.GetRun().GetInterval().AsDuration()
 	r.recorder = newRecorder(names, duration, interval)
-	following, stop := context.WithCancel(ctx)
+	pollCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go r.balancer.follow(following)
+	go r.balancer.pollReadiness(pollCtx)
 	before := r.counters(ctx)
-	r.load(ctx, names)
+	r.runLoad(ctx, names)
 	after := r.counters(ctx)
 	report := &Report{
-		Told: r.recorder.told, Duration: duration, Interval: interval,
+		Told: r.recorder.outcomes, Duration: duration, Interval: interval,
 		Executed: after.GetExecuted() - before.GetExecuted(), Shed: after.GetShed() - before.GetShed(),
 		MaxInFlight: after.GetMaxInFlight(), MaxConnections: after.GetMaxConnections(),
 	}
@@ -104,13 +112,13 @@
 
 func (r *runner) connect(targets Targets) error {
 	if targets.Direct != nil {
-		b := &backend{conns: []callerpb.QueryClient{newDirect(targets.Direct)}}
+		b := &backend{conns: []callerpb.QueryClient{newDirectClient(targets.Direct)}}
 		r.balancer.backends = []*backend{b}
 	}
 	for i, address := range targets.Entries {
 		b := &backend{}
 		if i < len(targets.Ready) {
-			b.readiness = targets.Ready[i]
+			b.readyAddress = targets.Ready[i]
 		}
 		b.ready.Store(true)
 		for range connsPerEntry {
@@ -127,7 +135,7 @@
 		if err != nil {
 			return fmt.Errorf("leaf control %s: %w", address, err)
 		}
-		r.controls = append(r.controls, platformpb.NewControlClient(conn))
+		r.leafControls = append(r.leafControls, platformpb.NewControlClient(conn))
 	}
 	if targets.PlatformControl == "" {
 		return nil
@@ -140,9 +148,11 @@
 	return nil
 }
 
+// counters adds up the counters of all leaf processes. A process that does not
+// reply, such as a killed one, is left out.
 func (r *runner) counters(ctx context.Context) *platformpb.CountersReply {
 	sum := &platformpb.CountersReply{}
-	for _, c := range r.controls {
+	for _, c := range r.leafControls {
 		reply, err := c.Counters(ctx, &platformpb.CountersRequest{})
 		if err != nil {
 			continue
@@ -155,30 +165,32 @@
 	return sum
 }
 
-// load starts every class and the faults, and waits for the last reply.
-func (r *runner) load(ctx context.Context, names []string) {
+// runLoad sends the requests of all classes, injects the faults, and waits for
+// the last reply.
+func (r *runner) runLoad(ctx context.Context, names []string) {
 	var all sync.WaitGroup
 	begin := time.Now().Add(r.scenario.GetRun().GetWarmup().AsDuration())
 	for i, name := range names {
 		class := r.scenario.GetClass()[name]
 		rng := rand.New(rand.NewPCG(r.scenario.GetRun().GetSeed(), uint64(i)))
-		all.Go(func() { r.arrivals(ctx, name, class, rng, begin) })
+		all.Go(func() { r.sendArrivals(ctx, name, class, rng, begin) })
 	}
 	for _, f := range r.scenario.GetFault() {
-		all.Go(func() { r.fault(ctx, f, begin) })
+		all.Go(func() { r.runFault(ctx, f, begin) })
 	}
 	all.Wait()
 }
 
-// arrivals sends the requests of one class at the times of a Poisson process.
-func (r *runner) arrivals(ctx context.Context, name string, class *settingspb.ClassSection, rng *rand.Rand, begin time.Time) {
+// sendArrivals sends the requests of one class as a Poisson process and waits for
+// their replies.
+func (r *runner) sendArrivals(ctx context.Context, name string, class *settingspb.ClassSection, rng *rand.Rand, begin time.Time) {
 	if class.GetRate() <= 0 {
 		return
 	}
 	due := time.Now()
 	end := begin.Add(r.scenario.GetRun().GetDuration().AsDuration())
 	var sent sync.WaitGroup
-	outstanding := make(chan struct{}, maxOutstanding)
+	outstanding := make(chan struct{}, maxOutstandingPerClass)
 	for n := 0; ; n++ {
 		due = due.Add(time.Duration(rng.ExpFloat64() / class.GetRate() * float64(time.Second)))
 		if due.After(end) || ctx.Err() != nil {
@@ -186,46 +198,48 @@
 		}
 		time.Sleep(time.Until(due))
 		ask := &callerpb.AskRequest{
-			Desk: class.GetDesk(), Service: class.GetService(), RequestId: fmt.Sprintf("%s-%s-%d", r.run, name, n),
+			Desk: class.GetDesk(), Service: class.GetService(), RequestId: fmt.Sprintf("%s-%s-%d", r.runID, name, n),
 			Query: []byte("surname=rossi"), NotRepeatable: class.GetNotRepeatable(),
 		}
 		at, client := due, r.balancer.pick()
 		outstanding <- struct{}{}
 		sent.Go(func() {
 			defer func() { <-outstanding }()
-			r.ask(ctx, name, class, client, ask, at, begin)
+			r.sendAndRecord(ctx, name, class, client, ask, at, begin)
 		})
 	}
 	sent.Wait()
 }
 
-func (r *runner) ask(ctx context.Context, name string, class *settingspb.ClassSection, client callerpb.QueryClient, ask *callerpb.AskRequest, due, begin time.Time) {
+// sendAndRecord sends one request and records its result.
+func (r *runner) sendAndRecord(ctx context.Context, name string, class *settingspb.ClassSection, client callerpb.QueryClient, ask *callerpb.AskRequest, due, begin time.Time) {
 	deadline := class.GetDeadline().AsDuration()
-	ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(graceFactor*float64(deadline))))
+	ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(abandonFactor*float64(deadline))))
 	defer cancel()
-	reply, err := r.send(ctx, client, ask, due.Add(deadline))
+	reply, err := r.sendWithResends(ctx, client, ask, due.Add(deadline))
 	r.recorder.add(observation{
-		class: name, counted: !due.Before(begin), due: due.Sub(begin), took: time.Since(due),
+		class: name, measured: !due.Before(begin), due: due.Sub(begin), took: time.Since(due),
 		deadline: deadline, ask: ask, reply: reply, err: err,
 	})
 }
 
-// send sends a request; one that is not repeatable again with its ticket.
-func (r *runner) send(ctx context.Context, client callerpb.QueryClient, ask *callerpb.AskRequest, deadline time.Time) (*callerpb.AskReply, error) {
+// sendWithResends sends a request. It sends a non-repeatable one again with its
+// ticket while the outcome is unknown.
+func (r *runner) sendWithResends(ctx context.Context, client callerpb.QueryClient, ask *callerpb.AskRequest, deadline time.Time) (*callerpb.AskReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	reply, err := client.Ask(ctx, ask)
 	if !ask.GetNotRepeatable() {
 		return reply, err
 	}
-	for range resends {
-		comeBack := reply.GetOutcome() == callerpb.Outcome_NOT_RUN && reply.GetReason() != callerpb.Reason_TICKET_REQUIRED
-		if comeBack {
+	for range maxResends {
+		notRun := reply.GetOutcome() == callerpb.Outcome_NOT_RUN && reply.GetReason() != callerpb.Reason_TICKET_REQUIRED
+		if notRun {
 			break
 		}
-		again := reply.GetReason() == callerpb.Reason_TICKET_REQUIRED ||
+		resend := reply.GetReason() == callerpb.Reason_TICKET_REQUIRED ||
 			(len(ask.GetTicket()) > 0 && (err != nil || reply.GetReason() == callerpb.Reason_PEER_LOST))
-		if !again || ctx.Err() != nil {
+		if !resend || ctx.Err() != nil {
 			break
 		}
 		if len(reply.GetTicket()) > 0 {
@@ -237,5 +251,6 @@
 	return reply, err
 }
 
-// maxRecord lets a long record of executions come in one reply.
-var maxRecord = grpc.MaxCallRecvMsgSize(512 << 20)
+// executionsReplyLimit raises the message limit so that all recorded executions
+// fit in one reply.
+var executionsReplyLimit = grpc.MaxCallRecvMsgSize(512 << 20)
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -8,26 +8,27 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes a table with a row for each class.
+// WriteTable writes a table with a row for each class, and the totals of the
+// leaves.
 func (r *Report) WriteTable(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "class\tsent\tanswered\tin time\tp50 ms\tp99 ms\tp99.9 ms\tcoverage\tnot run\tunknown\tcut\treasons")
 	for _, c := range r.Classes {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.1f\t%.1f\t%.1f\t%.5f\t%d\t%d\t%d\t%s\n", c.Name, c.Sent, c.Answered,
-			ratio(c.InTime, c.Sent), c.Quantile(50), c.Quantile(99), c.Quantile(99.9), c.Coverage(), c.NotRun, c.Unknown, c.Cut, reasons(c.Reasons))
+			ratio(c.InTime, c.Sent), c.Quantile(50), c.Quantile(99), c.Quantile(99.9), c.Coverage(), c.NotRun, c.Unknown, c.Cut, formatReasons(c.Reasons))
 	}
 	_ = t.Flush()
 	fmt.Fprintf(w, "leaves: executed %d, shed %d, most in flight on one leaf %d, most connections to one leaf %d\n",
 		r.Executed, r.Shed, r.MaxInFlight, r.MaxConnections)
 }
 
-// Wrong returns what was wrong with answers, over all classes.
+// Wrong describes the answers of all classes that failed Check.
 func (r *Report) Wrong() []string {
-	var wrong []string
+	var mismatches []string
 	for _, c := range r.Classes {
-		wrong = append(wrong, c.Wrong...)
+		mismatches = append(mismatches, c.Wrong...)
 	}
-	return wrong
+	return mismatches
 }
 
 // Cut returns the number of requests that got no reply.
@@ -46,7 +47,8 @@
 	return float64(part) / float64(whole)
 }
 
-func reasons(counts map[string]int) string {
+// formatReasons returns the counts as REASON=COUNT, sorted by reason.
+func formatReasons(counts map[string]int) string {
 	parts := make([]string, 0, len(counts))
 	for reason, n := range counts {
 		parts = append(parts, fmt.Sprintf("%s=%d", reason, n))
--- a/internal/load/verify.go
+++ b/internal/load/verify.go
@@ -8,8 +8,8 @@
 	"github.com/mallowgap/mallowgap/api/platformpb"
 )
 
-// Verify holds what desks were told against what the leaves recorded: nothing
-// that was called not run ran, and nothing not repeatable ran twice.
+// Verify compares the outcomes reported to desks with the executions recorded by
+// the leaves, and returns the violations. See Violations.
 func Verify(ctx context.Context, targets Targets, told []Told) ([]string, error) {
 	executed := map[string]int{}
 	for _, address := range targets.LeafControls {
@@ -17,10 +17,10 @@
 		if err != nil {
 			return nil, err
 		}
-		reply, err := platformpb.NewControlClient(conn).Executions(ctx, &platformpb.ExecutionsRequest{}, maxRecord)
+		reply, err := platformpb.NewControlClient(conn).Executions(ctx, &platformpb.ExecutionsRequest{}, executionsReplyLimit)
 		_ = conn.Close()
 		if err != nil {
-			return nil, fmt.Errorf("record of %s: %w", address, err)
+			return nil, fmt.Errorf("read the executions of %s: %w", address, err)
 		}
 		for _, e := range reply.GetExecutions() {
 			executed[e.GetRequestId()]++
@@ -29,19 +29,21 @@
 	return Violations(told, executed), nil
 }
 
-// Violations compares what desks were told with how often each request ran.
+// Violations checks that no request reported as not run was executed, that no
+// non-repeatable request was executed twice, and that an answered non-repeatable
+// request was executed once. executed holds the executions of each request.
 func Violations(told []Told, executed map[string]int) []string {
 	var violations []string
 	for _, t := range told {
 		n := executed[t.Request]
 		if t.Outcome == callerpb.Outcome_NOT_RUN && n > 0 {
-			violations = append(violations, fmt.Sprintf("%s was called not run and ran %d times", t.Request, n))
+			violations = append(violations, fmt.Sprintf("request %s was reported as not run but executed %d times", t.Request, n))
 		}
 		if t.NotRepeatable && n > 1 {
-			violations = append(violations, fmt.Sprintf("%s is not repeatable and ran %d times", t.Request, n))
+			violations = append(violations, fmt.Sprintf("request %s is not repeatable but was executed %d times", t.Request, n))
 		}
 		if t.NotRepeatable && t.Outcome == callerpb.Outcome_ANSWERED && n != 1 {
-			violations = append(violations, fmt.Sprintf("%s was answered and ran %d times", t.Request, n))
+			violations = append(violations, fmt.Sprintf("request %s was answered but executed %d times", t.Request, n))
 		}
 	}
 	return violations
