--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin holds small stand-ins for what surrounds the entry hosts:
-// backend servers and the platform. Their faults are set at the start and by
-// control calls while they run. They record what they executed, so that a
-// check can hold the desks' replies against it.
+// Package standin simulates the environment of the entry hosts: backend servers
+// and the platform. Faults are injected at the start and by control calls at run
+// time. Leaves record what they execute, so that tests can verify the replies to
+// desks.
 package standin
--- a/internal/standin/leaf.go
+++ b/internal/standin/leaf.go
@@ -20,24 +20,27 @@
 	"github.com/mallowgap/mallowgap/api/platformpb"
 )
 
-// LeafOptions describe one backend server.
+// LeafOptions configure a leaf.
 type LeafOptions struct {
 	Address string
-	// Slots is how many requests run at a time; more are shed.
+	// Slots bounds the requests that run at the same time; more are shed.
 	Slots int
-	// Connections is the most connections it takes at a time.
+	// Connections bounds the open connections; more are closed at once.
 	Connections int
-	// Service is the mean time that a request takes.
+	// Service is the mean service time of a request.
 	Service time.Duration
 	// Connect is the time that a new connection takes.
-	Connect  time.Duration
+	Connect time.Duration
+	// Versions are the index versions held, the newest last.
 	Versions []uint64
-	Seed     uint64
-	// Record keeps every execution for Control.Executions.
+	// Seed seeds the service times.
+	Seed uint64
+	// Record keeps all executions for Control.Executions. Without it only those
+	// of non-repeatable requests are kept.
 	Record bool
 }
 
-// Leaf is a backend server. It is safe for concurrent use.
+// Leaf simulates a backend server. It is safe for concurrent use.
 type Leaf struct {
 	leafpb.UnimplementedLeafServer
 	options     LeafOptions
@@ -78,7 +81,7 @@
 	l.mu.Lock()
 	l.server = server
 	l.mu.Unlock()
-	go func() { _ = server.Serve(&countedListener{Listener: lis, leaf: l}) }()
+	go func() { _ = server.Serve(&limitedListener{Listener: lis, leaf: l}) }()
 	return nil
 }
 
@@ -93,7 +96,8 @@
 	}
 }
 
-// SetFaults changes the faults.
+// SetFaults replaces the faults. Ending the fault Down restarts the leaf as a new
+// incarnation.
 func (l *Leaf) SetFaults(f *platformpb.LeafFaults) error {
 	l.mu.Lock()
 	wasDown := l.faults.GetDown()
@@ -117,9 +121,9 @@
 	return nil
 }
 
-// Execute implements the backend servers' edge.
+// Execute implements leafpb.LeafServer.
 func (l *Leaf) Execute(ctx context.Context, request *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
-	refusal, took, err := l.begin(request)
+	refusal, serviceTime, err := l.admit(request)
 	if err != nil {
 		return nil, err
 	}
@@ -129,18 +133,19 @@
 			Result: &leafpb.ExecuteReply_Refusal{Refusal: &leafpb.Refusal{Kind: refusal}},
 		}, nil
 	}
-	defer l.end()
-	if !l.work(ctx, took) {
+	defer l.release()
+	if !l.simulateWork(ctx, serviceTime) {
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
 	if l.isPoison(request.GetQuery()) {
 		go l.crash()
-		<-ctx.Done() // The connection ends with the leaf.
+		<-ctx.Done() // The crash closes the connection.
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
-	return l.answer(request)
+	return l.buildReply(request)
 }
 
+// isPoison reports whether the query crashes the leaf.
 func (l *Leaf) isPoison(query []byte) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,7 +153,8 @@
 	return poison != "" && strings.HasPrefix(string(query), poison)
 }
 
-// crash ends the leaf with all that it runs, and starts it again after a while.
+// crash stops the leaf with all requests in flight and restarts it after
+// poison_down_ms.
 func (l *Leaf) crash() {
 	l.mu.Lock()
 	faults := l.faults
@@ -158,15 +164,16 @@
 	}
 	down := proto.CloneOf(faults)
 	down.Down = true
-	_ = l.SetFaults(down) // Only a start can fail.
+	_ = l.SetFaults(down) // Only a restart can fail.
 	time.Sleep(time.Duration(faults.GetPoisonDownMs()) * time.Millisecond)
 	if err := l.SetFaults(faults); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	}
 }
 
-// begin takes a slot and records the execution, or says why not.
-func (l *Leaf) begin(request *leafpb.ExecuteRequest) (leafpb.Refusal_Kind, time.Duration, error) {
+// admit takes a slot, records the execution and returns its service time. If the
+// request is not admitted, it returns the refusal or an error.
+func (l *Leaf) admit(request *leafpb.ExecuteRequest) (leafpb.Refusal_Kind, time.Duration, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.GetFailFast() {
@@ -194,23 +201,25 @@
 	return leafpb.Refusal_KIND_UNSPECIFIED, l.serviceTime(), nil
 }
 
-// serviceTime is half fixed and half exponential, times the faults' factors.
+// serviceTime draws a service time: half of the mean is fixed, the other half
+// exponentially distributed. Slow and cold leaves multiply it. l.mu is held.
 func (l *Leaf) serviceTime() time.Duration {
-	took := float64(l.options.Service) * (0.5 + 0.5*l.rng.ExpFloat64())
+	duration := float64(l.options.Service) * (0.5 + 0.5*l.rng.ExpFloat64())
 	if f := l.faults.GetSlowFactor(); f > 1 {
-		took *= f
+		duration *= f
 	}
 	if time.Now().Before(l.coldUntil) {
-		took *= coldFactor
+		duration *= coldFactor
 	}
-	return time.Duration(took)
+	return time.Duration(duration)
 }
 
-// coldFactor is how much slower a cold leaf is.
+// coldFactor multiplies the service time of a cold leaf.
 const coldFactor = 4
 
-// work takes the time of a request. It reports false if ctx ended before.
-func (l *Leaf) work(ctx context.Context, took time.Duration) bool {
+// simulateWork waits for the service time. It reports false if ctx was cancelled
+// first; a silent leaf never finishes.
+func (l *Leaf) simulateWork(ctx context.Context, duration time.Duration) bool {
 	l.mu.Lock()
 	silent := l.faults.GetSilent()
 	l.mu.Unlock()
@@ -218,7 +227,7 @@
 		<-ctx.Done()
 		return false
 	}
-	timer := time.NewTimer(took)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -228,14 +237,15 @@
 	}
 }
 
-func (l *Leaf) end() {
+func (l *Leaf) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
 }
 
-// answer makes the part. Its row says from where and for whom it is.
-func (l *Leaf) answer(request *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
+// buildReply returns a part with one row, which identifies the request, the shard
+// and the snapshot.
+func (l *Leaf) buildReply(request *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
 	version := request.GetIndexVersion()
 	l.mu.Lock()
 	if version == 0 {
@@ -257,12 +267,12 @@
 	}, nil
 }
 
-// Row is the row that a leaf answers with.
+// Row returns the row with which a leaf answers.
 func Row(request, shard string, epoch, version uint64) string {
 	return fmt.Sprintf("%s %s %d %d", request, shard, epoch, version)
 }
 
-// Describe implements the backend servers' edge.
+// Describe implements leafpb.LeafServer.
 func (l *Leaf) Describe(context.Context, *leafpb.DescribeRequest) (*leafpb.DescribeReply, error) {
 	return &leafpb.DescribeReply{Status: l.status(), Slots: uint32(l.options.Slots)}, nil
 }
@@ -276,40 +286,41 @@
 	}
 }
 
-// countedListener counts and caps connections and makes them take time.
-type countedListener struct {
+// limitedListener counts, limits and delays the connections of a leaf.
+type limitedListener struct {
 	net.Listener
 	leaf *Leaf
 }
 
 // Accept implements net.Listener.
-func (c *countedListener) Accept() (net.Conn, error) {
+func (c *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := c.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if c.leaf.connected(1) {
-			return &slowConn{Conn: conn, leaf: c.leaf, ready: time.Now().Add(c.leaf.options.Connect)}, nil
+		if c.leaf.adjustConnections(1) {
+			return &delayedConn{Conn: conn, leaf: c.leaf, ready: time.Now().Add(c.leaf.options.Connect)}, nil
 		}
 		_ = conn.Close()
 	}
 }
 
-// connected changes the number of connections, within the cap.
-func (l *Leaf) connected(by int) bool {
+// adjustConnections adds delta to the number of open connections. It reports
+// false, and adds nothing, if a new connection would exceed the limit.
+func (l *Leaf) adjustConnections(delta int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if by > 0 && l.conns >= l.options.Connections {
+	if delta > 0 && l.conns >= l.options.Connections {
 		return false
 	}
-	l.conns += by
+	l.conns += delta
 	l.counters.MaxConnections = max(l.counters.MaxConnections, uint64(l.conns))
 	return true
 }
 
-// slowConn delays its first read by the time a connection takes.
-type slowConn struct {
+// delayedConn delays reads until the connection time has passed.
+type delayedConn struct {
 	net.Conn
 	leaf   *Leaf
 	ready  time.Time
@@ -317,7 +328,7 @@
 }
 
 // Read implements net.Conn.
-func (c *slowConn) Read(b []byte) (int, error) {
+func (c *delayedConn) Read(b []byte) (int, error) {
 	if wait := time.Until(c.ready); wait > 0 {
 		time.Sleep(wait)
 	}
@@ -325,7 +336,7 @@
 }
 
 // Close implements net.Conn.
-func (c *slowConn) Close() error {
-	c.closed.Do(func() { c.leaf.connected(-1) })
+func (c *delayedConn) Close() error {
+	c.closed.Do(func() { c.leaf.adjustConnections(-1) })
 	return c.Conn.Close()
 }
--- a/internal/standin/leafcontrol.go
+++ b/internal/standin/leafcontrol.go
@@ -9,13 +9,13 @@
 	"github.com/mallowgap/mallowgap/api/platformpb"
 )
 
-// LeafControl is the control call of the leaves of one process.
+// LeafControl serves control calls for the leaves of one process.
 type LeafControl struct {
 	platformpb.UnimplementedControlServer
 	Leaves []*Leaf
 }
 
-// SetLeafFaults changes the faults of one leaf or of all.
+// SetLeafFaults replaces the faults of one leaf, or of all if no address is given.
 func (c LeafControl) SetLeafFaults(_ context.Context, f *platformpb.LeafFaults) (*platformpb.ControlReply, error) {
 	found := false
 	for _, l := range c.Leaves {
@@ -28,12 +28,13 @@
 		}
 	}
 	if !found {
-		return nil, status.Errorf(codes.NotFound, "no leaf at %s: name one of this process", f.GetAddress())
+		return nil, status.Errorf(codes.NotFound, "no leaf at %s: use the address of a leaf of this process", f.GetAddress())
 	}
 	return &platformpb.ControlReply{}, nil
 }
 
-// Counters adds up the counters of all leaves.
+// Counters adds up the counters of all leaves; the max counters are the highest
+// of any leaf.
 func (c LeafControl) Counters(context.Context, *platformpb.CountersRequest) (*platformpb.CountersReply, error) {
 	sum := &platformpb.CountersReply{}
 	for _, l := range c.Leaves {
@@ -48,7 +49,7 @@
 	return sum, nil
 }
 
-// Executions lists what all leaves executed.
+// Executions returns the recorded executions of all leaves.
 func (c LeafControl) Executions(context.Context, *platformpb.ExecutionsRequest) (*platformpb.ExecutionsReply, error) {
 	reply := &platformpb.ExecutionsReply{}
 	for _, l := range c.Leaves {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,55 +12,60 @@
 	"github.com/mallowgap/mallowgap/api/platformpb"
 )
 
-// Platform is a key-value service with compare-and-swap, leases and watches,
-// and a host list with a lag. It is safe for concurrent use.
+// Platform simulates a key-value service with compare-and-swap, leases and
+// watches, and a host list with a lag. It is safe for concurrent use.
 type Platform struct {
 	platformpb.UnimplementedKeyValueServer
 	platformpb.UnimplementedHostListServer
 	platformpb.UnimplementedControlServer
 
-	mu       sync.Mutex
-	values   map[string]entry
-	leases   map[uint64]time.Time
-	changed  chan struct{}
-	hosts    map[string][]announced
-	faults   *platformpb.PlatformFaults
-	counters *platformpb.CountersReply
-	lease    uint64
+	mu     sync.Mutex
+	values map[string]storedValue
+	// leases holds the expiry of each lease.
+	leases map[uint64]time.Time
+	// changed is closed, and replaced, on every change of a value or the faults.
+	changed chan struct{}
+	// hosts holds the announcements of each host, the newest last.
+	hosts     map[string][]announcement
+	faults    *platformpb.PlatformFaults
+	counters  *platformpb.CountersReply
+	lastLease uint64
 }
 
-type entry struct {
+// storedValue is the value of a key. A deleted one keeps its version.
+type storedValue struct {
 	version uint64
 	value   []byte
 	lease   uint64
 }
 
-type announced struct {
+// announcement is a state of a host and the time at which it was announced.
+type announcement struct {
 	host *platformpb.Host
 	at   time.Time
 }
 
 var (
-	errOutage = status.Error(codes.Unavailable, "platform outage")
-	errLost   = status.Error(codes.Unavailable, "reply lost")
+	errOutage    = status.Error(codes.Unavailable, "platform outage")
+	errReplyLost = status.Error(codes.Unavailable, "reply lost")
 )
 
 // NewPlatform returns an empty platform with the given faults.
 func NewPlatform(faults *platformpb.PlatformFaults) *Platform {
 	return &Platform{
-		values:   map[string]entry{},
+		values:   map[string]storedValue{},
 		leases:   map[uint64]time.Time{},
 		changed:  make(chan struct{}),
-		hosts:    map[string][]announced{},
+		hosts:    map[string][]announcement{},
 		faults:   faults,
 		counters: &platformpb.CountersReply{},
 	}
 }
 
-// enter counts a call and makes it suffer the faults.
-func (p *Platform) enter(ctx context.Context, count *uint64) error {
+// beginCall counts a call and applies the outage and delay faults.
+func (p *Platform) beginCall(ctx context.Context, counter *uint64) error {
 	p.mu.Lock()
-	*count++
+	*counter++
 	outage, delay := p.faults.GetOutage(), time.Duration(p.faults.GetDelayMs())*time.Millisecond
 	p.mu.Unlock()
 	if outage {
@@ -77,9 +82,9 @@
 	}
 }
 
-// live returns the value of a key; that of an ended lease is gone. The version
-// of a key that ended goes on from where it was.
-func (p *Platform) live(key string) entry {
+// current returns the value of a key. A value whose lease has expired is deleted,
+// which increments the version of the key. p.mu is held.
+func (p *Platform) current(key string) storedValue {
 	e := p.values[key]
 	if e.lease != 0 && time.Now().After(p.leases[e.lease]) {
 		e.value = nil
@@ -90,47 +95,47 @@
 	return e
 }
 
-// Get reads a value.
+// Get returns the value of a key.
 func (p *Platform) Get(ctx context.Context, request *platformpb.GetRequest) (*platformpb.GetReply, error) {
-	if err := p.enter(ctx, &p.counters.Reads); err != nil {
+	if err := p.beginCall(ctx, &p.counters.Reads); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.live(request.GetKey())
+	e := p.current(request.GetKey())
 	return &platformpb.GetReply{Version: e.version, Value: e.value}, nil
 }
 
 // CompareAndSwap writes a value if the key has the expected version.
 func (p *Platform) CompareAndSwap(ctx context.Context, request *platformpb.CompareAndSwapRequest) (*platformpb.CompareAndSwapReply, error) {
-	if err := p.enter(ctx, &p.counters.Writes); err != nil {
+	if err := p.beginCall(ctx, &p.counters.Writes); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.live(request.GetKey())
+	e := p.current(request.GetKey())
 	swapped := e.version == request.GetExpectVersion()
 	if swapped {
-		e = entry{version: e.version + 1, value: request.GetValue(), lease: request.GetLease()}
+		e = storedValue{version: e.version + 1, value: request.GetValue(), lease: request.GetLease()}
 		p.values[request.GetKey()] = e
 		close(p.changed)
 		p.changed = make(chan struct{})
 	}
 	if p.faults.GetLoseReplies() > 0 {
 		p.faults.LoseReplies--
-		return nil, errLost
+		return nil, errReplyLost
 	}
 	return &platformpb.CompareAndSwapReply{Swapped: swapped, Version: e.version}, nil
 }
 
-// Watch waits for a version above the one given.
+// Watch waits until the version of a key is above the given one.
 func (p *Platform) Watch(ctx context.Context, request *platformpb.WatchRequest) (*platformpb.GetReply, error) {
-	if err := p.enter(ctx, &p.counters.Watches); err != nil {
+	if err := p.beginCall(ctx, &p.counters.Watches); err != nil {
 		return nil, err
 	}
 	for {
 		p.mu.Lock()
-		e, changed, outage := p.live(request.GetKey()), p.changed, p.faults.GetOutage()
+		e, changed, outage := p.current(request.GetKey()), p.changed, p.faults.GetOutage()
 		p.mu.Unlock()
 		if outage {
 			return nil, errOutage
@@ -148,36 +153,36 @@
 
 // GrantLease grants or renews a lease.
 func (p *Platform) GrantLease(ctx context.Context, request *platformpb.GrantLeaseRequest) (*platformpb.GrantLeaseReply, error) {
-	if err := p.enter(ctx, &p.counters.Writes); err != nil {
+	if err := p.beginCall(ctx, &p.counters.Writes); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id := request.GetLease()
-	if end, ok := p.leases[id]; id != 0 && (!ok || time.Now().After(end)) {
-		return nil, status.Error(codes.NotFound, "the lease has ended: grant a new one")
+	if expiry, ok := p.leases[id]; id != 0 && (!ok || time.Now().After(expiry)) {
+		return nil, status.Error(codes.NotFound, "the lease has expired: grant a new one")
 	}
 	if id == 0 {
-		p.lease++
-		id = p.lease
+		p.lastLease++
+		id = p.lastLease
 	}
 	p.leases[id] = time.Now().Add(time.Duration(request.GetTtlMs()) * time.Millisecond)
 	return &platformpb.GrantLeaseReply{Lease: id}, nil
 }
 
-// List returns the hosts as they were announced before the lag.
+// List returns the hosts as announced before the lag.
 func (p *Platform) List(ctx context.Context, _ *platformpb.ListRequest) (*platformpb.ListReply, error) {
-	if err := p.enter(ctx, &p.counters.Reads); err != nil {
+	if err := p.beginCall(ctx, &p.counters.Reads); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := time.Now().Add(-time.Duration(p.faults.GetHostListLagMs()) * time.Millisecond)
+	cutoff := time.Now().Add(-time.Duration(p.faults.GetHostListLagMs()) * time.Millisecond)
 	reply := &platformpb.ListReply{}
-	for _, states := range p.hosts {
-		for i := len(states) - 1; i >= 0; i-- {
-			if states[i].at.Before(before) {
-				reply.Hosts = append(reply.Hosts, states[i].host)
+	for _, history := range p.hosts {
+		for i := len(history) - 1; i >= 0; i-- {
+			if history[i].at.Before(cutoff) {
+				reply.Hosts = append(reply.Hosts, history[i].host)
 				break
 			}
 		}
@@ -185,19 +190,19 @@
 	return reply, nil
 }
 
-// Announce enters or changes a host.
+// Announce adds or updates a host.
 func (p *Platform) Announce(ctx context.Context, request *platformpb.AnnounceRequest) (*platformpb.AnnounceReply, error) {
-	if err := p.enter(ctx, &p.counters.Writes); err != nil {
+	if err := p.beginCall(ctx, &p.counters.Writes); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := proto.Clone(request.GetHost()).(*platformpb.Host)
-	p.hosts[h.GetName()] = append(p.hosts[h.GetName()], announced{host: h, at: time.Now()})
+	p.hosts[h.GetName()] = append(p.hosts[h.GetName()], announcement{host: h, at: time.Now()})
 	return &platformpb.AnnounceReply{}, nil
 }
 
-// SetPlatformFaults changes the faults.
+// SetPlatformFaults replaces the faults.
 func (p *Platform) SetPlatformFaults(_ context.Context, f *platformpb.PlatformFaults) (*platformpb.ControlReply, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,7 +212,7 @@
 	return &platformpb.ControlReply{}, nil
 }
 
-// Counters returns the calls so far.
+// Counters returns the counts of calls so far.
 func (p *Platform) Counters(context.Context, *platformpb.CountersRequest) (*platformpb.CountersReply, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/shape.go
+++ b/internal/standin/shape.go
@@ -8,38 +8,41 @@
 	"github.com/mallowgap/mallowgap/config"
 )
 
-// ServiceShape is the shape of one service of a deployment.
+// ServiceShape describes one service of a deployment. Slots, Connections, Connect
+// and Service are those of each leaf, see LeafOptions.
 type ServiceShape struct {
-	Name          string
-	Shards        int
-	Replicas      int
-	Slots         int
-	Connections   int
-	Connect       time.Duration
-	Service       time.Duration
+	Name     string
+	Shards   int
+	Replicas int
+
+	Slots       int
+	Connections int
+	Connect     time.Duration
+	Service     time.Duration
+
 	NotRepeatable bool
 	MinCoverage   float64
 	EarlyShare    float64
 	EarlyAfter    time.Duration
 }
 
-// Deployment is what one user runs.
+// Deployment describes the services and callers of one user.
 type Deployment struct {
-	Name     string
+	Name string
+	// Domains are the failure domains over which replicas are spread.
 	Domains  []string
 	Services []ServiceShape
-	// Classes are the paid classes, highest first.
+	// Classes are the priority classes, the highest first.
 	Classes []string
-	// Desks maps desks to classes.
-	Desks []DeskShape
+	Desks   []DeskShape
 }
 
-// DeskShape is a desk with its class.
+// DeskShape describes a desk and its class.
 type DeskShape struct {
 	Name, Class string
 }
 
-// Deployments are the two users' deployments of today.
+// Deployments are the known deployments.
 var Deployments = []Deployment{
 	{
 		Name:    "trinacria",
@@ -67,18 +70,18 @@
 	},
 }
 
-// FindDeployment returns the deployment of a name.
+// FindDeployment returns the deployment with the given name.
 func FindDeployment(name string) (Deployment, error) {
 	for _, d := range Deployments {
 		if d.Name == name {
 			return d, nil
 		}
 	}
-	return Deployment{}, fmt.Errorf("deployment %q is not known: use trinacria or veerik", name)
+	return Deployment{}, fmt.Errorf("unknown deployment %q: use trinacria or veerik", name)
 }
 
-// Config is the configuration of a deployment whose leaves listen on the
-// loopback address at ports from base upwards.
+// Config returns the configuration of the deployment, whose leaves listen on
+// consecutive loopback ports from base.
 func (d Deployment) Config(base int) *configpb.Config {
 	c := &configpb.Config{}
 	for i, name := range d.Classes {
@@ -100,7 +103,7 @@
 				From: uint32(config.KeySpace * i / s.Shards), To: uint32(config.KeySpace * (i + 1) / s.Shards),
 			}
 			for r := range s.Replicas {
-				shard.Replicas = append(shard.Replicas, &configpb.Replica{Address: address(port), FailureDomain: d.Domains[r%len(d.Domains)]})
+				shard.Replicas = append(shard.Replicas, &configpb.Replica{Address: loopbackAddress(port), FailureDomain: d.Domains[r%len(d.Domains)]})
 				port++
 			}
 			service.Shards = append(service.Shards, shard)
@@ -110,14 +113,15 @@
 	return c
 }
 
-// Leaves are the backend servers that Config names.
+// Leaves returns the backend servers named by Config, in the order of their ports.
+// They do not listen yet.
 func (d Deployment) Leaves(base int, record bool) []*Leaf {
 	var leaves []*Leaf
 	port := base
 	for _, s := range d.Services {
 		for range s.Shards * s.Replicas {
 			leaves = append(leaves, NewLeaf(LeafOptions{
-				Address: address(port), Slots: s.Slots, Connections: s.Connections, Service: s.Service,
+				Address: loopbackAddress(port), Slots: s.Slots, Connections: s.Connections, Service: s.Service,
 				Connect: s.Connect, Versions: []uint64{1}, Seed: uint64(port), Record: record,
 			}))
 			port++
@@ -126,4 +130,4 @@
 	return leaves
 }
 
-func address(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
+func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
