--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain tells from the logs of several hosts what happened to one
-// request: its own lines, and the lines by which hosts changed what they
-// believed of the servers and peers that it names.
+// Package explain reconstructs from the logs of several hosts what happened to a
+// request: the log lines of the request, and the lines about state changes of the
+// servers and peers that they mention. It also reports over all requests.
 package explain
 
 import (
@@ -14,13 +14,13 @@
 	"time"
 )
 
-// before is for how long before a request a change of belief still explains it.
-const before = 30 * time.Second
+// contextWindow is the time before a request in which state changes are included.
+const contextWindow = 30 * time.Second
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	Time    time.Time
 	Host    string
@@ -28,15 +28,15 @@
 	Request string
 	// Fields are all fields of the line.
 	Fields map[string]any
-	// text is the line as it was written.
+	// text is the JSON text of the line.
 	text string
 }
 
-// Read returns the lines of a log. What is not a JSON object is skipped and
-// counted; text before an object on its line is ignored.
+// Read parses a log. Lines that are not JSON objects with a message are skipped and
+// counted; text before the object is ignored.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Text())
 		if !ok {
@@ -61,61 +61,62 @@
 	l.Host, _ = fields["host"].(string)
 	l.Message, _ = fields["message"].(string)
 	l.Request, _ = fields["request"].(string)
-	stamp, _ := fields["time"].(string)
-	l.Time, _ = time.Parse(time.RFC3339Nano, stamp) // A line without a time comes first.
+	timestamp, _ := fields["time"].(string)
+	l.Time, _ = time.Parse(time.RFC3339Nano, timestamp) // A line without a valid time sorts first.
 	return l, l.Message != ""
 }
 
-// Story is what the logs tell of a request.
+// Story is the history of a request.
 type Story struct {
-	// Lines are in the order of time.
+	// Lines are ordered by time.
 	Lines []Line
-	// Gaps says what the logs do not tell.
+	// Gaps describe the information that is missing from the logs.
 	Gaps []string
 }
 
-// Of returns the story of a request.
+// Of returns the history of the request with the given identifier.
 func Of(lines []Line, request string) Story {
-	var own []Line
+	var requestLines []Line
 	for _, l := range lines {
 		if l.Request == request {
-			own = append(own, l)
+			requestLines = append(requestLines, l)
 		}
 	}
-	if len(own) == 0 {
-		return Story{Gaps: []string{"no line names the request: it did not reach these hosts, or its line was dropped (mallowgap_log_lines_sampled_total, mallowgap_log_lines_dropped_total)"}}
+	if len(requestLines) == 0 {
+		return Story{Gaps: []string{"no line mentions the request: it did not reach these hosts, or its line was dropped (mallowgap_log_lines_sampled_total, mallowgap_log_lines_dropped_total)"}}
 	}
-	s := Story{Lines: slices.Concat(own, beliefs(lines, own), sameContent(lines, own))}
+	s := Story{Lines: slices.Concat(requestLines, stateChanges(lines, requestLines), sameFingerprint(lines, requestLines))}
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
-	s.Gaps = append(gaps(own), leftOut(s.Lines)...)
+	s.Gaps = append(requestGaps(requestLines), sampledGaps(s.Lines)...)
 	return s
 }
 
-// sameContent returns the lines about servers that ended under other attempts of the same
-// request, and what the hosts made of it.
-func sameContent(lines, own []Line) []Line {
-	var prints []string
-	for _, l := range own {
-		if p := l.field("fingerprint"); p != "" && !slices.Contains(prints, p) {
-			prints = append(prints, p)
+// sameFingerprint returns the lines about servers that ended during other requests
+// with the same fingerprint, and about changes of its quarantine standing.
+func sameFingerprint(lines, requestLines []Line) []Line {
+	var fingerprints []string
+	for _, l := range requestLines {
+		if p := l.textField("fingerprint"); p != "" && !slices.Contains(fingerprints, p) {
+			fingerprints = append(fingerprints, p)
 		}
 	}
 	var found []Line
 	for _, l := range lines {
-		about := strings.HasPrefix(l.Message, endedMessage) || l.Message == standingMessage
-		if about && l.Request != own[0].Request && slices.Contains(prints, l.field("fingerprint")) {
+		isQuarantineLine := strings.HasPrefix(l.Message, endedMessage) || l.Message == standingMessage
+		if isQuarantineLine && l.Request != requestLines[0].Request && slices.Contains(fingerprints, l.textField("fingerprint")) {
 			found = append(found, l)
 		}
 	}
 	return found
 }
 
-// beliefs returns the lines that change what a host believed of a server or
-// peer that the request's lines name, and those of its store.
-func beliefs(lines, own []Line) []Line {
-	from, to := own[0].Time, own[0].Time
+// stateChanges returns the lines of the same hosts, shortly before or during the
+// request, about a server or peer that the request's lines mention, or about
+// neither, such as those about the store.
+func stateChanges(lines, requestLines []Line) []Line {
+	from, to := requestLines[0].Time, requestLines[0].Time
 	hosts := map[string]bool{}
-	for _, l := range own {
+	for _, l := range requestLines {
 		hosts[l.Host] = true
 		if l.Time.Before(from) {
 			from = l.Time
@@ -126,29 +127,31 @@
 	}
 	var found []Line
 	for _, l := range lines {
-		if l.Request != "" || l.Message == standingMessage || !hosts[l.Host] || l.Time.Before(from.Add(-before)) || l.Time.After(to) {
+		if l.Request != "" || l.Message == standingMessage || !hosts[l.Host] || l.Time.Before(from.Add(-contextWindow)) || l.Time.After(to) {
 			continue
 		}
-		if concerns(l, own) {
+		if isRelevant(l, requestLines) {
 			found = append(found, l)
 		}
 	}
 	return found
 }
 
-// concerns reports whether a line without a request bears on a request's lines.
-func concerns(l Line, own []Line) bool {
-	named := l.names()
-	for _, o := range own {
-		if slices.ContainsFunc(named, func(name string) bool { return strings.Contains(o.text, name) }) {
+// isRelevant reports whether a line is about a server or peer that the request's
+// lines mention, or about none in particular.
+func isRelevant(l Line, requestLines []Line) bool {
+	subjects := l.subjects()
+	for _, o := range requestLines {
+		if slices.ContainsFunc(subjects, func(name string) bool { return strings.Contains(o.text, name) }) {
 			return true
 		}
 	}
-	return len(named) == 0
+	return len(subjects) == 0
 }
 
-// names returns the servers that a line is about, or else the peer.
-func (l Line) names() []string {
+// subjects returns the identifiers of the servers that a line is about, or else
+// the name of the peer.
+func (l Line) subjects() []string {
 	if name, ok := l.Fields["server"].(string); ok {
 		return []string{name}
 	}
@@ -166,45 +169,45 @@
 	return names
 }
 
-// gaps says what the request's lines leave open.
-func gaps(own []Line) []string {
+// requestGaps describes what is missing from the request's lines.
+func requestGaps(requestLines []Line) []string {
 	var missing []string
-	entry, relayed := false, false
-	for _, l := range own {
+	hasEntryLine, relayed := false, false
+	for _, l := range requestLines {
 		switch l.Message {
 		case "request":
-			entry = true
+			hasEntryLine = true
 			n, _ := l.Fields["relayed"].(float64)
 			relayed = relayed || n > 0
 			if dropped, ok := l.Fields["notes_dropped"].(float64); ok {
-				missing = append(missing, fmt.Sprintf("%v further notes of %s did not fit its line", dropped, l.Host))
+				missing = append(missing, fmt.Sprintf("%v more notes of %s were dropped, as its line was full", dropped, l.Host))
 			}
 		}
 	}
-	if !entry {
-		missing = append(missing, "the line of the host that the caller asked is missing")
+	if !hasEntryLine {
+		missing = append(missing, "the line of the host that received the request is missing")
 	}
-	if relayed && !slices.ContainsFunc(own, func(l Line) bool { return l.Message == "relayed calls" }) {
-		missing = append(missing, "calls went through relays whose lines are missing: their logs are not here, or were sampled")
+	if relayed && !slices.ContainsFunc(requestLines, func(l Line) bool { return l.Message == "relayed calls" }) {
+		missing = append(missing, "calls went through relays whose lines are missing: their logs were not given, or the lines were dropped")
 	}
 	return missing
 }
 
-// leftOut says where hosts left lines out about then.
-func leftOut(lines []Line) []string {
+// sampledGaps describes where hosts dropped lines to limit their log rate.
+func sampledGaps(lines []Line) []string {
 	var gaps []string
 	for _, l := range lines {
 		if n, ok := l.Fields["left_out"].(float64); ok {
-			gaps = append(gaps, fmt.Sprintf("%s left out %v lines before %s", l.Host, n, l.Time.Format("15:04:05.000")))
+			gaps = append(gaps, fmt.Sprintf("%s dropped %v lines before %s", l.Host, n, l.Time.Format("15:04:05.000")))
 		}
 	}
 	return gaps
 }
 
-// hidden are the fields that every line has.
-var hidden = map[string]bool{"time": true, "host": true, "message": true, "level": true, "request": true}
+// commonFields are the fields of every line; details omits them.
+var commonFields = map[string]bool{"time": true, "host": true, "message": true, "level": true, "request": true}
 
-// Write prints a story, a line for each of its lines.
+// Write prints the history, each log line followed by its notes.
 func (s Story) Write(w io.Writer) error {
 	for _, l := range s.Lines {
 		if _, err := fmt.Fprintf(w, "%s %s: %s%s\n", l.Time.Format("15:04:05.000"), l.Host, l.Message, l.details()); err != nil {
@@ -218,17 +221,18 @@
 		}
 	}
 	for _, gap := range s.Gaps {
-		if _, err := fmt.Fprintf(w, "not told: %s\n", gap); err != nil {
+		if _, err := fmt.Fprintf(w, "incomplete: %s\n", gap); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// details returns the other fields as KEY=VALUE, sorted by key.
 func (l Line) details() string {
 	var keys []string
 	for key := range l.Fields {
-		if !hidden[key] && key != "notes" {
+		if !commonFields[key] && key != "notes" {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/explain/quarantine.go
+++ b/internal/explain/quarantine.go
@@ -10,74 +10,78 @@
 )
 
 const (
-	// messages of the lines about requests under which servers ended, without their ends.
+	// endedMessage is the prefix of the message of a line about a server that ended during a
+	// request; standingMessage is the message of a change of quarantine standing.
 	endedMessage    = "server ended with a request"
 	standingMessage = "standing of a request under which servers ended has changed"
-	// besideWithin is the time within which lines about the end of one server belong together.
-	besideWithin = 200 * time.Millisecond
+	// sameEndWindow is the time within which lines about the end of a server refer to the
+	// same end.
+	sameEndWindow = 200 * time.Millisecond
 )
 
-// Quarantine tells of each request under which servers ended, which it was, how many ended,
-// where, since when it is turned away and who was harmed beside it.
+// Quarantine summarizes the requests during which servers ended, by fingerprint: the servers
+// that ended, the quarantine standing, and the other requests that the servers' ends affected.
 type Quarantine struct {
-	cases map[string]*contentCase
-	// ends are the lines about ends, by server.
+	reports map[string]*fingerprintReport
+	// ends holds the lines about ended servers, by server.
 	ends map[string][]Line
 }
 
-// contentCase is what the logs tell of one fingerprint.
-type contentCase struct {
-	fingerprint, what, standing string
-	ends                        int
-	servers, hosts, requests    map[string]bool
-	first, last                 time.Time
-	// barredFirst and barredLast are when the first and the last host knew that it is barred.
+// fingerprintReport holds what the logs contain about one fingerprint.
+type fingerprintReport struct {
+	fingerprint, request, standing string
+	ends                           int
+	servers, hosts, requests       map[string]bool
+	first, last                    time.Time
+	// barredFirst and barredLast are the times at which the first and the last host barred it.
 	barredFirst, barredLast time.Time
 	barredBy                map[string]bool
-	refused                 int
-	beside                  map[string]bool
+	// refused counts the requests that were refused because the fingerprint is barred.
+	refused int
+	// collateral holds other requests that lost a server at the same end.
+	collateral map[string]bool
 }
 
-// QuarantineOf reads the lines about requests under which servers ended.
+// QuarantineOf builds a summary from the lines about requests during which servers ended.
 func QuarantineOf(lines []Line) Quarantine {
-	q := Quarantine{cases: map[string]*contentCase{}, ends: map[string][]Line{}}
+	q := Quarantine{reports: map[string]*fingerprintReport{}, ends: map[string][]Line{}}
 	for _, l := range lines {
-		fingerprint := l.field("fingerprint")
+		fingerprint := l.textField("fingerprint")
 		if fingerprint == "" {
 			continue
 		}
 		switch {
 		case strings.HasPrefix(l.Message, endedMessage):
-			server := l.field("server")
+			server := l.textField("server")
 			q.ends[server] = append(q.ends[server], l)
-			q.of(fingerprint).end(l)
+			q.report(fingerprint).addEnd(l)
 		case l.Message == standingMessage:
-			q.of(fingerprint).changed(l)
-		case l.Message == "request" && l.field("cause") == "barred":
-			q.of(fingerprint).refused++
+			q.report(fingerprint).addStandingChange(l)
+		case l.Message == "request" && l.textField("cause") == "barred":
+			q.report(fingerprint).refused++
 		}
 	}
 	for _, ends := range q.ends {
-		q.addBeside(ends)
+		q.addCollateral(ends)
 	}
 	return q
 }
 
-func (q Quarantine) of(fingerprint string) *contentCase {
-	c := q.cases[fingerprint]
+func (q Quarantine) report(fingerprint string) *fingerprintReport {
+	c := q.reports[fingerprint]
 	if c == nil {
-		c = &contentCase{
-			fingerprint: fingerprint, standing: "not told", servers: map[string]bool{}, hosts: map[string]bool{},
-			requests: map[string]bool{}, barredBy: map[string]bool{}, beside: map[string]bool{},
+		c = &fingerprintReport{
+			fingerprint: fingerprint, standing: "unknown", servers: map[string]bool{}, hosts: map[string]bool{},
+			requests: map[string]bool{}, barredBy: map[string]bool{}, collateral: map[string]bool{},
 		}
-		q.cases[fingerprint] = c
+		q.reports[fingerprint] = c
 	}
 	return c
 }
 
-func (c *contentCase) end(l Line) {
+func (c *fingerprintReport) addEnd(l Line) {
 	c.ends++
-	c.servers[l.field("server")], c.hosts[l.Host], c.requests[l.Request] = true, true, true
+	c.servers[l.textField("server")], c.hosts[l.Host], c.requests[l.Request] = true, true, true
 	if c.first.IsZero() || l.Time.Before(c.first) {
 		c.first = l.Time
 	}
@@ -86,8 +90,8 @@
 	}
 }
 
-func (c *contentCase) changed(l Line) {
-	c.what, c.standing = l.field("what"), l.field("standing")
+func (c *fingerprintReport) addStandingChange(l Line) {
+	c.request, c.standing = l.textField("what"), l.textField("standing")
 	if c.standing != "barred" {
 		return
 	}
@@ -100,25 +104,26 @@
 	}
 }
 
-// addBeside notes, for each end of a server, the requests with other contents that lost it too.
-func (q Quarantine) addBeside(ends []Line) {
+// addCollateral records, for each end of a server, the requests with other fingerprints that
+// lost the server at the same time. ends are those of one server.
+func (q Quarantine) addCollateral(ends []Line) {
 	for _, end := range ends {
 		for _, other := range ends {
 			gap := other.Time.Sub(end.Time).Abs()
-			if gap <= besideWithin && other.field("fingerprint") != end.field("fingerprint") {
-				q.cases[end.field("fingerprint")].beside[other.Request] = true
+			if gap <= sameEndWindow && other.textField("fingerprint") != end.textField("fingerprint") {
+				q.reports[end.textField("fingerprint")].collateral[other.Request] = true
 			}
 		}
 	}
 }
 
-// Write prints a table, the request with the most ends first.
+// Write prints a table, the fingerprint with the most ends first.
 func (q Quarantine) Write(w io.Writer) error {
-	var all []*contentCase
-	for _, c := range q.cases {
-		all = append(all, c)
+	var sorted []*fingerprintReport
+	for _, c := range q.reports {
+		sorted = append(sorted, c)
 	}
-	slices.SortFunc(all, func(a, b *contentCase) int {
+	slices.SortFunc(sorted, func(a, b *fingerprintReport) int {
 		if a.ends != b.ends {
 			return b.ends - a.ends
 		}
@@ -126,21 +131,22 @@
 	})
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "fingerprint\tstanding\tservers ended\tattempts\tseen by\tfirst\tlast\tbarred (hosts)\trefused\tharmed beside\trequest")
-	for _, c := range all {
+	for _, c := range sorted {
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\t%d\t%d\t%s\n", c.fingerprint, c.standing, len(c.servers), len(c.requests), len(c.hosts),
-			clock(c.first), clock(c.last), c.barredTime(), c.refused, len(c.beside), c.what)
+			formatClock(c.first), formatClock(c.last), c.barredTime(), c.refused, len(c.collateral), c.request)
 	}
 	return t.Flush()
 }
 
-func (c *contentCase) barredTime() string {
+// barredTime returns the times at which hosts barred the fingerprint, and the number of hosts.
+func (c *fingerprintReport) barredTime() string {
 	if c.barredFirst.IsZero() {
 		return "-"
 	}
-	return fmt.Sprintf("%s to %s (%d)", clock(c.barredFirst), clock(c.barredLast), len(c.barredBy))
+	return fmt.Sprintf("%s to %s (%d)", formatClock(c.barredFirst), formatClock(c.barredLast), len(c.barredBy))
 }
 
-func clock(t time.Time) string {
+func formatClock(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -10,108 +10,108 @@
 	"time"
 )
 
-// summarySpan is the length of the spans of time of a summary.
-const summarySpan = 2 * time.Second
+// summaryInterval is the length of the intervals in the table by time.
+const summaryInterval = 2 * time.Second
 
-// fate is what became of a request, as far as its caller is concerned.
-type fate string
+// result classifies the outcome of a request from its caller's point of view.
+type result string
 
 const (
-	fateServed  fate = "in time"
-	fatePartial fate = "partial"
-	fateLate    fate = "late"
-	fateRefused fate = "refused"
-	fateFailed  fate = "failed"
-	fateLeft    fate = "caller left"
+	resultInTime     result = "in time"
+	resultPartial    result = "partial"
+	resultLate       result = "late"
+	resultRefused    result = "refused"
+	resultFailed     result = "failed"
+	resultCallerLeft result = "caller left"
 )
 
-// fates are in the order in which a summary shows them.
-var fates = []fate{fateServed, fatePartial, fateLate, fateRefused, fateFailed, fateLeft}
+// results lists all results in the order of the table columns.
+var results = []result{resultInTime, resultPartial, resultLate, resultRefused, resultFailed, resultCallerLeft}
 
-// Summary counts what became of the requests in the logs of several hosts, by route
-// and cause and by time. Hosts bound their lines, so that a day under heavy load is
-// counted in part; the metrics have all of it.
+// Summary counts the requests in the logs of several hosts by result, for each route
+// and cause and for each interval. Hosts limit their log rate, so counts under heavy
+// load are too low; the metrics are complete.
 type Summary struct {
 	byCause map[causeKey]int
-	byTime  map[time.Time]map[fate]int
+	byTime  map[time.Time]map[result]int
 }
 
-// causeKey is a row of a summary.
+// causeKey identifies a row of the table by cause.
 type causeKey struct {
-	route string
-	rank  int
-	fate  fate
-	cause string
+	route  string
+	rank   int
+	result result
+	cause  string
 }
 
-// Summarize reads the lines of requests.
+// Summarize builds a summary from the lines of requests.
 func Summarize(lines []Line) Summary {
-	s := Summary{byCause: map[causeKey]int{}, byTime: map[time.Time]map[fate]int{}}
+	s := Summary{byCause: map[causeKey]int{}, byTime: map[time.Time]map[result]int{}}
 	for _, l := range lines {
 		if l.Message != "request" {
 			continue
 		}
-		f := l.fate()
-		s.byCause[causeKey{l.field("route"), int(l.number("rank")), f, l.field("cause")}]++
-		span := l.Time.Truncate(summarySpan)
-		if s.byTime[span] == nil {
-			s.byTime[span] = map[fate]int{}
+		f := l.result()
+		s.byCause[causeKey{l.textField("route"), int(l.numberField("rank")), f, l.textField("cause")}]++
+		interval := l.Time.Truncate(summaryInterval)
+		if s.byTime[interval] == nil {
+			s.byTime[interval] = map[result]int{}
 		}
-		s.byTime[span][f]++
+		s.byTime[interval][f]++
 	}
 	return s
 }
 
-// field returns a field that is a text, or an empty one.
-func (l Line) field(name string) string {
+// textField returns a string field, or "" if the line has no such field.
+func (l Line) textField(name string) string {
 	text, _ := l.Fields[name].(string)
 	return text
 }
 
-// number returns a field that is a number, or 0.
-func (l Line) number(name string) float64 {
+// numberField returns a numeric field, or 0 if the line has no such field.
+func (l Line) numberField(name string) float64 {
 	n, _ := l.Fields[name].(float64)
 	return n
 }
 
-// fate works out what became of the request of a line.
-func (l Line) fate() fate {
-	elapsed, objective := l.number("elapsed"), l.number("objective")
-	missing, status := l.number("missing"), l.number("status")
-	switch outcome := l.field("outcome"); {
+// result classifies the request of a line.
+func (l Line) result() result {
+	elapsed, objective := l.numberField("elapsed"), l.numberField("objective")
+	missing, status := l.numberField("missing"), l.numberField("status")
+	switch outcome := l.textField("outcome"); {
 	case outcome == "not_run":
-		return fateRefused
+		return resultRefused
 	case outcome == "caller_left":
-		return fateLeft
+		return resultCallerLeft
 	case outcome == "forwarded" && status >= 300 || outcome != "forwarded" && outcome != "gathered":
-		return fateFailed
+		return resultFailed
 	case objective > 0 && elapsed > objective:
-		return fateLate
+		return resultLate
 	case missing > 0:
-		return fatePartial
+		return resultPartial
 	}
-	return fateServed
+	return resultInTime
 }
 
-// Write prints a table of causes, the most frequent first, and one of times.
+// Write prints a table by cause, the most frequent first, and a table by time.
 func (s Summary) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(t, "requests\troute\trank\twhat became of them\tcause") // Errors come with Flush.
+	_, _ = fmt.Fprintln(t, "requests\troute\trank\twhat became of them\tcause") // Flush returns any write error.
 	keys := slices.SortedFunc(maps.Keys(s.byCause), func(a, b causeKey) int {
-		return cmp.Or(cmp.Compare(s.byCause[b], s.byCause[a]), cmp.Compare(a.route, b.route), cmp.Compare(a.fate, b.fate), cmp.Compare(a.cause, b.cause))
+		return cmp.Or(cmp.Compare(s.byCause[b], s.byCause[a]), cmp.Compare(a.route, b.route), cmp.Compare(a.result, b.result), cmp.Compare(a.cause, b.cause))
 	})
 	for _, k := range keys {
-		_, _ = fmt.Fprintf(t, "%d\t%s\t%d\t%s\t%s\n", s.byCause[k], k.route, k.rank, k.fate, k.cause)
+		_, _ = fmt.Fprintf(t, "%d\t%s\t%d\t%s\t%s\n", s.byCause[k], k.route, k.rank, k.result, k.cause)
 	}
 	_, _ = fmt.Fprint(t, "\nfrom")
-	for _, f := range fates {
+	for _, f := range results {
 		_, _ = fmt.Fprintf(t, "\t%s", f)
 	}
 	_, _ = fmt.Fprintln(t)
-	for _, span := range slices.SortedFunc(maps.Keys(s.byTime), time.Time.Compare) {
-		_, _ = fmt.Fprint(t, span.Format("15:04:05"))
-		for _, f := range fates {
-			_, _ = fmt.Fprintf(t, "\t%d", s.byTime[span][f])
+	for _, interval := range slices.SortedFunc(maps.Keys(s.byTime), time.Time.Compare) {
+		_, _ = fmt.Fprint(t, interval.Format("15:04:05"))
+		for _, f := range results {
+			_, _ = fmt.Fprintf(t, "\t%d", s.byTime[interval][f])
 		}
 		_, _ = fmt.Fprintln(t)
 	}
