--- a/internal/obs/bounded_test.go
+++ b/internal/obs/bounded_test.go
@@ -12,6 +12,7 @@
 	"github.com/mallowgap/mallowgap/internal/obs"
 )
 
+// The first line after dropped ones carries their number, and later lines do not.
 func TestLinesBeyondTheBoundAreCountedInTheNextLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
--- a/internal/obs/counters.go
+++ b/internal/obs/counters.go
@@ -8,10 +8,10 @@
 	"github.com/mallowgap/mallowgap/api/callerpb"
 )
 
-// Attempt is why an attempt was sent to a leaf.
+// Attempt is the reason for sending an attempt to a leaf.
 type Attempt int
 
-// The reasons for an attempt.
+// Reasons for an attempt.
 const (
 	First Attempt = iota
 	Hedge
@@ -24,17 +24,17 @@
 	attemptKinds
 )
 
-// String returns the label of the reason.
+// String returns the metric label of the reason.
 func (a Attempt) String() string {
 	return [...]string{"first", "hedge", "retry_failed", "retry_refused", "retry_not_sent", "retry_draining", "retry_snapshot", "probe"}[a]
 }
 
-// Extra reports whether a leaf may run the request once more for the attempt.
+// Extra reports whether the attempt may execute a request another time.
 func (a Attempt) Extra() bool { return a != First }
 
-var attempts = newAttempts()
+var attemptCounters = newAttemptCounters()
 
-func newAttempts() []*metrics.Counter {
+func newAttemptCounters() []*metrics.Counter {
 	counters := make([]*metrics.Counter, attemptKinds)
 	for a := range attemptKinds {
 		counters[a] = Counter("mallowgap_leaf_attempts_total", "kind", a.String())
@@ -42,10 +42,10 @@
 	return counters
 }
 
-// CountAttempt counts an attempt.
-func CountAttempt(a Attempt) { attempts[a].Inc() }
+// CountAttempt counts an attempt by its reason.
+func CountAttempt(a Attempt) { attemptCounters[a].Inc() }
 
-// Counter returns the counter with one label.
+// Counter returns the counter of a metric with one label.
 func Counter(name, label, value string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(fmt.Sprintf("%s{%s=%q}", name, label, value))
 }
@@ -56,16 +56,16 @@
 	metrics.GetOrCreateCounter(name).Inc()
 }
 
-// CountPart counts what became of a part by its verdict.
+// CountPart counts a received part by the verdict on it.
 func CountPart(verdict string) { Counter("mallowgap_parts_total", "verdict", verdict).Inc() }
 
-// CountRefusal counts a leaf's refusal by its kind.
+// CountRefusal counts a refusal of a leaf by its kind.
 func CountRefusal(kind string) { Counter("mallowgap_leaf_refusals_total", "kind", kind).Inc() }
 
-// CountDenied counts an extra attempt that the budget did not permit.
+// CountDenied counts an extra attempt that the retry budget did not permit.
 func CountDenied(a Attempt) { Counter("mallowgap_extra_denied_total", "kind", a.String()).Inc() }
 
-// CountStore counts a call of the platform by its kind and result.
+// CountStore counts a call to the platform by its kind and result.
 func CountStore(call string, err error) {
 	result := "ok"
 	if err != nil {
--- a/internal/obs/doc.go
+++ b/internal/obs/doc.go
@@ -1,4 +1,4 @@
-// Package obs names the counters of the daemon and makes its logger. A counter
-// stands for each reason of a refusal and of an extra attempt; log lines are
-// kept for changes of state.
+// Package obs provides the counters and loggers of the daemons. Refusals and extra
+// attempts are counted by reason; log lines report state changes, and requests at
+// a limited rate.
 package obs
--- a/internal/obs/log.go
+++ b/internal/obs/log.go
@@ -6,13 +6,13 @@
 	"github.com/rs/zerolog"
 )
 
-// timeFormat shows milliseconds, so that the lines of one request can be put in
-// order.
+// timeFormat is RFC 3339 with milliseconds, which orders the lines of a request.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func init() { zerolog.TimeFieldFormat = timeFormat }
 
-// NewLogger returns a logger that writes JSON lines of at least the level.
+// NewLogger returns a logger that writes JSON lines at or above a level, with a
+// timestamp and the host.
 func NewLogger(w io.Writer, level, host string) (zerolog.Logger, error) {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
