--- a/internal/capacity/configs.go
+++ b/internal/capacity/configs.go
@@ -13,15 +13,17 @@
 	"github.com/mallowgap/mallowgap/config"
 )
 
-// serviceCounts are the numbers of services measured, of 140 shards each.
+// serviceCounts are the numbers of services measured, of shardsPerService each.
 var serviceCounts = []int{1, 3, 10, 30, 100}
 
 const (
-	bigShards   = 140
-	bigReplicas = 2
+	shardsPerService = 140
+	replicasPerShard = 2
 )
 
-func bigConfig(services, shards int) *configpb.Config {
+// syntheticConfig returns a configuration with the given number of services and of
+// shards per service.
+func syntheticConfig(services, shards int) *configpb.Config {
 	c := &configpb.Config{Revision: 1, ChangeId: "first"}
 	for i := range 4 {
 		c.Classes = append(c.Classes, &configpb.Class{Name: fmt.Sprint("class-", i), Rank: uint32(i)})
@@ -36,7 +38,7 @@
 				Name: fmt.Sprintf("service-%03d-shard-%04d", i, j),
 				From: uint32(config.KeySpace * j / shards), To: uint32(config.KeySpace * (j + 1) / shards),
 			}
-			for r := range bigReplicas {
+			for r := range replicasPerShard {
 				shard.Replicas = append(shard.Replicas, &configpb.Replica{
 					Address: fmt.Sprintf("10.%d.%d.%d:7000", 64+r, i, j%250), FailureDomain: fmt.Sprint("domain-", (j+r)%6),
 				})
@@ -48,12 +50,13 @@
 	return c
 }
 
-// measureConfigs measures what a host holds and does for a configuration.
+// measureConfigs measures the size and memory of a configuration, and the processor
+// time of a change, by number of services.
 func measureConfigs() []Slope {
 	var head, whole, memory, change []Point
 	for _, n := range serviceCounts {
-		c := bigConfig(n, bigShards)
-		h, parts := split(c)
+		c := syntheticConfig(n, shardsPerService)
+		h, parts := mustSplit(c)
 		bytes := proto.Size(h)
 		size := float64(n)
 		head = append(head, Point{size, float64(bytes) / 1024})
@@ -61,15 +64,15 @@
 			bytes += len(b)
 		}
 		whole = append(whole, Point{size, float64(bytes) / 1024})
-		memory = append(memory, Point{size, heapOf(func() *config.Holder { return held(c) }) / 1024})
-		holder := held(c)
+		memory = append(memory, Point{size, heapOf(func() *config.Holder { return holderOf(c) }) / 1024})
+		holder := holderOf(c)
 		next := proto.Clone(c).(*configpb.Config)
 		revision := uint64(1)
-		change = append(change, Point{size, timed(func() {
+		change = append(change, Point{size, microsPerCall(func() {
 			revision++
 			next.Revision = revision
 			next.Services[0].Slots = uint32(revision%20 + 1)
-			h, parts := split(next)
+			h, parts := mustSplit(next)
 			_, _ = holder.Offer(h, parts)
 		})})
 	}
@@ -81,7 +84,8 @@
 	}
 }
 
-func split(c *configpb.Config) (*configpb.Head, config.Parts) {
+// mustSplit splits a configuration into its head and parts. It panics on an error.
+func mustSplit(c *configpb.Config) (*configpb.Head, config.Parts) {
 	head, parts, err := config.Split(c)
 	if err != nil {
 		panic("capacity: " + err.Error())
@@ -89,9 +93,10 @@
 	return head, parts
 }
 
-func held(c *configpb.Config) *config.Holder {
+// holderOf returns a holder with c in force.
+func holderOf(c *configpb.Config) *config.Holder {
 	h := config.NewHolder()
-	head, parts := split(c)
+	head, parts := mustSplit(c)
 	if _, err := h.Offer(head, parts); err != nil {
 		panic("capacity: " + err.Error())
 	}
@@ -99,46 +104,49 @@
 }
 
 const (
-	// hop is the time of one pull between hosts: two calls at 12 ms one way.
-	hop = 48 * time.Millisecond
-	// heartbeatInterval is the interval of heartbeats.
+	// pullTime is the time in which a host pulls a revision from another: two
+	// calls at 12 ms one way.
+	pullTime = 48 * time.Millisecond
+	// heartbeatInterval is the time between two heartbeats of a host.
 	heartbeatInterval = 500 * time.Millisecond
-	// pushFanOut is the number of members told at once.
+	// pushFanOut is the number of random members to which a host pushes a new
+	// revision.
 	pushFanOut = 3
-	// deadShare is the share of hosts that are stale or dead.
+	// deadShare is the share of hosts that are dead or unreachable.
 	deadShare = 0.04
 )
 
-// inForce is a model, not a measurement: it returns the time in seconds in
-// which a revision reaches 999 in 1,000 of the live hosts, by pushes to three
-// random members and heartbeats both ways, the worst of some runs.
-func inForce(hosts, runs int) float64 {
+// modelInForce simulates, without real tables, the time until a revision is in force
+// at 999 in 1,000 of the live hosts, by pushes to random members and by heartbeats.
+// It returns the worst of the runs, in seconds.
+func modelInForce(hosts, runs int) float64 {
 	worst := 0.0
 	for run := range runs {
 		rng := rand.New(rand.NewPCG(uint64(run), 9))
-		worst = math.Max(worst, oneRumour(hosts, rng))
+		worst = math.Max(worst, simulateSpread(hosts, rng))
 	}
 	return worst
 }
 
-func oneRumour(hosts int, rng *rand.Rand) float64 {
+// simulateSpread simulates the spread of one revision from host 0.
+func simulateSpread(hosts int, rng *rand.Rand) float64 {
 	const step = 10 * time.Millisecond
 	dead := make([]bool, hosts)
-	at := make([]time.Duration, hosts)
+	informedAt := make([]time.Duration, hosts)
 	phase := make([]time.Duration, hosts)
 	live := 0
 	for i := range dead {
 		dead[i] = i > 0 && rng.Float64() < deadShare
 		phase[i] = time.Duration(rng.Int64N(int64(heartbeatInterval)))
-		at[i] = math.MaxInt64
+		informedAt[i] = math.MaxInt64
 		if !dead[i] {
 			live++
 		}
 	}
-	at[0] = 0
-	tell := func(j int, when time.Duration) {
-		if !dead[j] && when < at[j] {
-			at[j] = when
+	informedAt[0] = 0
+	inform := func(j int, when time.Duration) {
+		if !dead[j] && when < informedAt[j] {
+			informedAt[j] = when
 		}
 	}
 	pushed := make([]bool, hosts)
@@ -147,34 +155,35 @@
 			if dead[i] {
 				continue
 			}
-			if at[i] <= now && !pushed[i] {
+			if informedAt[i] <= now && !pushed[i] {
 				pushed[i] = true
 				for range pushFanOut {
-					tell(rng.IntN(hosts), now+hop)
+					inform(rng.IntN(hosts), now+pullTime)
 				}
 			}
 			if (now+phase[i])%heartbeatInterval < step {
 				j := rng.IntN(hosts)
 				switch {
 				case dead[j]:
-				case at[i] <= now:
-					tell(j, now+hop)
-				case at[j] <= now:
-					tell(i, now+hop)
+				case informedAt[i] <= now:
+					inform(j, now+pullTime)
+				case informedAt[j] <= now:
+					inform(i, now+pullTime)
 				}
 			}
 		}
-		if done(at, now, live) {
+		if knownToMost(informedAt, now, live) {
 			break
 		}
 	}
-	slices.Sort(at)
-	return at[int(math.Ceil(0.999*float64(live)))-1].Seconds()
+	slices.Sort(informedAt)
+	return informedAt[int(math.Ceil(0.999*float64(live)))-1].Seconds()
 }
 
-func done(at []time.Duration, now time.Duration, live int) bool {
+// knownToMost reports whether 999 in 1,000 of the live hosts were informed by now.
+func knownToMost(informedAt []time.Duration, now time.Duration, live int) bool {
 	n := 0
-	for _, t := range at {
+	for _, t := range informedAt {
 		if t <= now {
 			n++
 		}
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,4 +1,5 @@
-// Package capacity measures how state, time and bytes grow with the size of a
-// deployment, fits lines through the figures and works out the size to design
-// for. mallowgap capacity writes the tables of docs/CAPACITY.md from it.
+// Package capacity measures how memory, processor time and message sizes grow with
+// the size of a deployment, fits lines through the results and extrapolates them to
+// the design size. The command mallowgap capacity writes the results to
+// docs/CAPACITY.md.
 package capacity
--- a/internal/capacity/fanout.go
+++ b/internal/capacity/fanout.go
@@ -11,14 +11,14 @@
 	"github.com/mallowgap/mallowgap/internal/home"
 )
 
-// shardCounts are the fan-outs measured.
+// shardCounts are the numbers of shards measured.
 var shardCounts = []int{20, 30, 140, 500, 1000}
 
-// instant answers at once, so that only the tier's own work is timed.
-type instant struct{}
+// instantLeaf replies at once, so that only the work of the tier is timed.
+type instantLeaf struct{}
 
 // Execute implements leaf.Client.
-func (instant) Execute(_ context.Context, _ string, r *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
+func (instantLeaf) Execute(_ context.Context, _ string, r *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
 	return &leafpb.ExecuteReply{
 		AttemptId: r.GetAttemptId(),
 		Status:    &leafpb.Status{Incarnation: 1, IndexVersions: []uint64{1}},
@@ -29,22 +29,22 @@
 }
 
 // Describe implements leaf.Client.
-func (instant) Describe(context.Context, string) (*leafpb.DescribeReply, error) {
+func (instantLeaf) Describe(context.Context, string) (*leafpb.DescribeReply, error) {
 	return &leafpb.DescribeReply{Status: &leafpb.Status{Incarnation: 1, IndexVersions: []uint64{1}}}, nil
 }
 
 // Forget implements leaf.Client.
-func (instant) Forget(string) {}
+func (instantLeaf) Forget(string) {}
 
-// measureFanOut measures one query through the decisions of a home, without a
-// network.
+// measureFanOut measures the time of one query through a home without a network,
+// and the memory of the home, by number of shards.
 func measureFanOut() []Slope {
 	var query, memory []Point
 	for _, n := range shardCounts {
-		c := bigConfig(1, n)
+		c := syntheticConfig(1, n)
 		c.Services[0].Homes = 1
 		build := func() *home.Service {
-			s := home.NewService("service-000", instant{}, home.Options{
+			s := home.NewService("service-000", instantLeaf{}, home.Options{
 				Queue: admission.Settings{Length: 64}, Hedging: true, HedgeQuantile: 97, ExtraShare: 0.05, Prefix: "capacity/1",
 			})
 			s.Configure(c.Services[0], home.Share{Homes: 1}, func(string) (uint64, bool) { return 0, false })
@@ -54,7 +54,7 @@
 		memory = append(memory, Point{size, heapOf(build) / 1024})
 		s := build()
 		id := 0
-		query = append(query, Point{size, timed(func() {
+		query = append(query, Point{size, microsPerCall(func() {
 			id++
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -7,25 +7,27 @@
 	"strings"
 )
 
-// The size to design for, from the users' first letter.
+// Design size and rates.
 const (
-	designHosts     = 4300
-	designServices  = 100
-	designChanges   = 10000.0 / 86400
-	designRestarts  = 11000.0 / 86400
-	messagesASecond = 4 // a probe and its reply, each way, at 2 intervals a second
-	factsAMember    = 2 // leaving or dead, and alive again
-	passesOn        = 3 * 13
+	designHosts             = 4300
+	designServices          = 100
+	designChangesPerSecond  = 10000.0 / 86400
+	designRestartsPerSecond = 11000.0 / 86400
+	messagesPerSecond       = 4      // a probe and its reply, sent and received, at 2 intervals a second
+	factsPerRestart         = 2      // leaving or dead, and alive again
+	sendsPerFact            = 3 * 13 // limit of member.Table.Facts at designHosts
 )
 
-// Results are all slopes.
+// Results holds all measurements.
 type Results struct {
-	Slopes  []Slope
+	Slopes []Slope
+	// InForce holds pairs of a number of hosts and the modelled time until a
+	// revision is in force, in seconds.
 	InForce [][2]float64
 }
 
-// Measure measures all slopes. It takes a few minutes and, at 4,300 tables, a
-// few GiB of memory.
+// Measure runs all measurements and prints each slope to progress. It takes a few
+// minutes and a few GiB of memory.
 func Measure(progress io.Writer) Results {
 	var r Results
 	add := func(slopes ...Slope) {
@@ -40,12 +42,12 @@
 	add(measureFanOut()...)
 	add(measureSpread())
 	for _, n := range fleetSizes {
-		r.InForce = append(r.InForce, [2]float64{float64(n), inForce(n, 20)})
+		r.InForce = append(r.InForce, [2]float64{float64(n), modelInForce(n, 20)})
 	}
 	return r
 }
 
-// find returns the slope of a name.
+// find returns the first slope whose name begins with prefix.
 func (r Results) find(prefix string) Slope {
 	for _, s := range r.Slopes {
 		if strings.HasPrefix(s.Name, prefix) {
@@ -55,7 +57,7 @@
 	panic("capacity: no slope " + prefix)
 }
 
-// WriteSlopes writes the table of slopes.
+// WriteSlopes writes the tables of slopes and of the modelled times.
 func (r Results) WriteSlopes(w io.Writer) {
 	fmt.Fprintln(w, "| what | at sizes | unit | fitted line | largest residual |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- |")
@@ -73,41 +75,42 @@
 	}
 }
 
-// WriteHost writes what control costs one host at the size to design for.
+// WriteHost writes a table of the control plane's cost for one host at the design
+// size.
 func (r Results) WriteHost(w io.Writer) {
 	heartbeat := r.find("heartbeat message")
-	factsCalm := designRestarts * factsAMember * passesOn / messagesASecond
-	calm := messagesASecond * heartbeat.At(min(factsCalm, 16))
-	burst := messagesASecond * heartbeat.At(16)
-	change := r.find("change of one service")
+	factsPerMessage := designRestartsPerSecond * factsPerRestart * sendsPerFact / messagesPerSecond
+	steady := messagesPerSecond * heartbeat.At(min(factsPerMessage, 16))
+	burst := messagesPerSecond * heartbeat.At(16)
+	changeTime := r.find("change of one service")
 	headBytes := r.find("head, size").At(designServices) * 1024
 	partBytes := (r.find("whole configuration, size").PerUnit - r.find("head, size").PerUnit) * 1024
-	configBytes := designChanges * (headBytes + partBytes + 2*pushFanOut*heartbeat.At(0))
-	member := r.find("change of a member").At(designHosts)
-	place := r.find("placement").At(designHosts) * designServices
-	memberCPU := designRestarts * factsAMember * (member + place) / 1e6
-	beatCPU := 4 * r.find("heartbeat interval").At(designHosts) / 1e6
-	configCPU := designChanges * change.At(designServices) / 1e6
+	configBytes := designChangesPerSecond * (headBytes + partBytes + 2*pushFanOut*heartbeat.At(0))
+	memberTime := r.find("change of a member").At(designHosts)
+	placementTime := r.find("placement").At(designHosts) * designServices
+	memberCPU := designRestartsPerSecond * factsPerRestart * (memberTime + placementTime) / 1e6
+	heartbeatCPU := 4 * r.find("heartbeat interval").At(designHosts) / 1e6
+	configCPU := designChangesPerSecond * changeTime.At(designServices) / 1e6
 	tableKiB := r.find("member table").At(designHosts)
 	configKiB := r.find("whole configuration, memory").At(designServices)
 	fmt.Fprintln(w, "| what | formula | calm | budget |\n| --- | --- | --- | --- |")
-	fmt.Fprintf(w, "| heartbeats, B/s | %d messages/s x size at %.1f facts | %.0f (%.0f with 16 facts each, the bound) | |\n", messagesASecond, factsCalm, calm, burst)
-	fmt.Fprintf(w, "| configuration, B/s | %.3f changes/s x (head + 1 part + pushes) | %.0f | |\n", designChanges, configBytes)
-	fmt.Fprintf(w, "| **bytes, sum** | | **%.0f** (%.0f in a burst) | 5,000 |\n", calm+configBytes, burst+configBytes)
-	fmt.Fprintf(w, "| heartbeats, core | 4/s x interval | %.5f%% | |\n", 100*beatCPU)
-	fmt.Fprintf(w, "| member changes, core | %.3f/s x (taken in + placement of %d services) | %.2f%% | |\n", designRestarts*factsAMember, designServices, 100*memberCPU)
-	fmt.Fprintf(w, "| configuration, core | %.3f/s x made and taken in | %.3f%% | |\n", designChanges, 100*configCPU)
-	fmt.Fprintf(w, "| **processor, sum** | | **%.2f%%** | 3.8%% |\n", 100*(beatCPU+memberCPU+configCPU))
+	fmt.Fprintf(w, "| heartbeats, B/s | %d messages/s x size at %.1f facts | %.0f (%.0f with 16 facts each, the bound) | |\n", messagesPerSecond, factsPerMessage, steady, burst)
+	fmt.Fprintf(w, "| configuration, B/s | %.3f changes/s x (head + 1 part + pushes) | %.0f | |\n", designChangesPerSecond, configBytes)
+	fmt.Fprintf(w, "| **bytes, sum** | | **%.0f** (%.0f in a burst) | 5,000 |\n", steady+configBytes, burst+configBytes)
+	fmt.Fprintf(w, "| heartbeats, core | 4/s x interval | %.5f%% | |\n", 100*heartbeatCPU)
+	fmt.Fprintf(w, "| member changes, core | %.3f/s x (taken in + placement of %d services) | %.2f%% | |\n", designRestartsPerSecond*factsPerRestart, designServices, 100*memberCPU)
+	fmt.Fprintf(w, "| configuration, core | %.3f/s x made and taken in | %.3f%% | |\n", designChangesPerSecond, 100*configCPU)
+	fmt.Fprintf(w, "| **processor, sum** | | **%.2f%%** | 3.8%% |\n", 100*(heartbeatCPU+memberCPU+configCPU))
 	fmt.Fprintf(w, "| **memory, MiB** | member table %.0f KiB + configuration %.0f KiB | **%.1f** | 64 |\n", tableKiB, configKiB, (tableKiB+configKiB)/1024)
 }
 
-// markers of the generated parts of the page.
+// Markers of the generated sections of the page.
 const (
-	slopesMark = "slopes"
-	hostMark   = "host"
+	slopesMarker = "slopes"
+	hostMarker   = "host"
 )
 
-// Rewrite replaces the generated tables of the page at path.
+// Rewrite replaces the generated sections of the page at path.
 func (r Results) Rewrite(path string) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
@@ -116,21 +119,22 @@
 	var slopes, host strings.Builder
 	r.WriteSlopes(&slopes)
 	r.WriteHost(&host)
-	text, err := replaceBetween(string(page), slopesMark, slopes.String())
+	text, err := replaceBetween(string(page), slopesMarker, slopes.String())
 	if err != nil {
 		return err
 	}
-	if text, err = replaceBetween(text, hostMark, host.String()); err != nil {
+	if text, err = replaceBetween(text, hostMarker, host.String()); err != nil {
 		return err
 	}
 	return os.WriteFile(path, []byte(text), 0o644)
 }
 
-func replaceBetween(page, mark, content string) (string, error) {
-	begin, end := "<!-- begin "+mark+" -->\n", "<!-- end "+mark+" -->"
+// replaceBetween replaces the text between the begin and end comments of marker.
+func replaceBetween(page, marker, content string) (string, error) {
+	begin, end := "<!-- begin "+marker+" -->\n", "<!-- end "+marker+" -->"
 	i, j := strings.Index(page, begin), strings.Index(page, end)
 	if i < 0 || j < i {
-		return "", fmt.Errorf("the page has no %q part: put its two comments back", mark)
+		return "", fmt.Errorf("the page has no section %q: restore its begin and end comments", marker)
 	}
 	return page[:i+len(begin)] + content + page[j:], nil
 }
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// rounds is how often a measurement is repeated; the best counts, since
-	// what disturbs a machine only makes it slower.
-	rounds = 5
-	// roundTime is the least length of one round.
-	roundTime = 20 * time.Millisecond
+	// timingRounds is the number of rounds of a timing. The fastest one counts, as
+	// interference only slows a round down.
+	timingRounds = 5
+	// minRoundTime is the minimum length of a round.
+	minRoundTime = 20 * time.Millisecond
 )
 
-// Point is one measured size.
+// Point is the value measured at one size.
 type Point struct {
 	Size, Value float64
 }
 
-// Slope is a line fitted through points: value = Base + PerUnit * size.
+// Slope is a line fitted to points: value = Base + PerUnit * size.
 type Slope struct {
 	Name, Unit, SizeUnit string
 	Points               []Point
 	Base, PerUnit        float64
-	// Residual is the largest distance of a point from the line, as a share of
+	// Residual is the largest deviation of a point from the line, as a share of
 	// the largest value.
 	Residual float64
 }
 
-// fit returns the line through points by least squares.
+// fit returns the least-squares line through points.
 func fit(name, unit, sizeUnit string, points []Point) Slope {
 	xs, ys := make([]float64, len(points)), make([]float64, len(points))
 	largest := 0.0
@@ -52,13 +52,14 @@
 // At returns the value of the line at a size.
 func (s Slope) At(size float64) float64 { return s.Base + s.PerUnit*size }
 
-// timed returns the time of one call of fn, in microseconds.
-func timed(fn func()) float64 {
+// microsPerCall returns the mean time of a call of fn in the fastest round, in
+// microseconds.
+func microsPerCall(fn func()) float64 {
 	best := math.Inf(1)
-	for range rounds {
+	for range timingRounds {
 		calls := 0
 		begin := time.Now()
-		for time.Since(begin) < roundTime {
+		for time.Since(begin) < minRoundTime {
 			fn()
 			calls++
 		}
@@ -67,7 +68,7 @@
 	return best
 }
 
-// heapOf returns the bytes of heap that what fn returns holds.
+// heapOf returns the heap memory held by the value that fn returns, in bytes.
 func heapOf[T any](fn func() T) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
