--- a/purity_test.go
+++ b/purity_test.go
@@ -1,4 +1,4 @@
-// Package mallowgap_test checks rules that hold for the whole module.
+// Package mallowgap_test checks rules for the package structure of the module.
 package mallowgap_test
 
 import (
@@ -14,39 +14,42 @@
 
 const module = "github.com/mallowgap/mallowgap/"
 
-// decisionPackages are importable without the daemon and any transport.
+// decisionPackages contain pure decision logic, without I/O, transport or metrics.
 var decisionPackages = []string{
 	"admission", "config", "discovery", "drain", "fanout", "limit", "member", "once", "quarantine", "rendezvous", "replica", "retry", "route", "scarcity", "scatter",
 	"snapshot",
 }
 
-// forbidden are the packages that decision packages may not depend on.
-var forbidden = []string{
+// forbiddenImports are prefixes of import paths on which decision packages must not
+// depend.
+var forbiddenImports = []string{
 	"github.com/mallowgap/mallowgap/internal", "google.golang.org/grpc", "storj.io/drpc", "net/http", "github.com/rs/zerolog",
 	"github.com/VictoriaMetrics/metrics", "github.com/labstack/echo",
 }
 
-// TestDecisionPackagesArePure checks what each decision package imports, by
-// itself and through other packages of the module.
+// TestDecisionPackagesArePure checks the imports of each decision package, including
+// those through other packages of the module.
 func TestDecisionPackagesArePure(t *testing.T) {
 	for _, name := range decisionPackages {
-		for dep := range imports(t, name, map[string]bool{}) {
-			for _, bad := range forbidden {
-				assert.Assert(t, !strings.HasPrefix(dep, bad), "%s depends on %s", name, dep)
+		for dep := range collectImports(t, name, map[string]bool{}) {
+			for _, prefix := range forbiddenImports {
+				assert.Assert(t, !strings.HasPrefix(dep, prefix), "%s depends on %s", name, dep)
 			}
 		}
 	}
 }
 
-// platformWords are names that only the adapter may know.
-var platformWords = []string{
+// platformNames are names of the platform's protocol that may occur only in the
+// adapter, the package platform.
+var platformNames = []string{
 	"X-Mallowgap-", "kv-key", "kv-range", "kv-watch", "kv-txn", "kv-lease", "kv-keep", "op/config", "goal_ms", "top_k", "min_share",
 	"weighted_services", "cold_left_ms", "home_regions", "cold_per_s", "op/evacuate",
 }
 
-// TestPlatformNamesStayInTheAdapter looks for the platform's names in the code.
+// TestPlatformNamesStayInTheAdapter checks that no other package uses names of the
+// platform's protocol, and that the adapter stays small.
 func TestPlatformNamesStayInTheAdapter(t *testing.T) {
-	adapter, all := 0, 0
+	adapterLines, totalLines := 0, 0
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasPrefix(path, "api/") {
 			return err
@@ -54,22 +57,23 @@
 		text, err := os.ReadFile(path)
 		assert.NilError(t, err)
 		lines := strings.Count(string(text), "\n")
-		all += lines
+		totalLines += lines
 		if strings.HasPrefix(path, "platform/") {
-			adapter += lines
+			adapterLines += lines
 			return nil
 		}
-		for _, word := range platformWords {
-			assert.Check(t, !strings.Contains(string(text), word), "%s names %s", path, word)
+		for _, name := range platformNames {
+			assert.Check(t, !strings.Contains(string(text), name), "%s contains %s, which only the adapter may use", path, name)
 		}
 		return nil
 	})
 	assert.NilError(t, err)
-	assert.Assert(t, adapter*10 < all, "the adapter has %d of %d lines: it is to stay under a tenth", adapter, all)
+	assert.Assert(t, adapterLines*10 < totalLines, "the adapter has %d of %d lines: it must stay below a tenth", adapterLines, totalLines)
 }
 
-// imports adds what a package of the module imports to seen.
-func imports(t *testing.T, dir string, seen map[string]bool) map[string]bool {
+// collectImports adds the imports of the package in dir to seen, including those of
+// other packages of the module, and returns seen.
+func collectImports(t *testing.T, dir string, seen map[string]bool) map[string]bool {
 	t.Helper()
 	p, err := build.ImportDir(dir, 0)
 	assert.NilError(t, err)
@@ -78,8 +82,8 @@
 			continue
 		}
 		seen[dep] = true
-		if inside, ok := strings.CutPrefix(dep, module); ok {
-			imports(t, inside, seen)
+		if path, ok := strings.CutPrefix(dep, module); ok {
+			collectImports(t, path, seen)
 		}
 	}
 	return seen
