--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
 # Functions that start stand-ins and entry hosts as separate processes on
-# loopback. Source it; call cluster_start, and cluster_stop when done.
+# loopback. Source this file and call cluster_start, and cluster_stop at the end.
 #
-# Variables read: DEPLOYMENT (trinacria), ENTRIES (3), HOMES (1), TRAFFIC (more
-# lines for the [traffic] section), PORTS (first port, 21000), RECORD (empty or
-# --record).
+# Variables, with their defaults: DEPLOYMENT (trinacria), ENTRIES (number of entry
+# hosts, 3), HOMES (homes of each service, 1), TRAFFIC (additional lines of the
+# [traffic] section), PORTS (first port, 21000), RECORD (empty, or --record),
+# SERVICE_TIME (mean service time of the leaves, that of the deployment).
 BIN=${BIN:-bin/mallowgap}
 DEPLOYMENT=${DEPLOYMENT:-trinacria}
 ENTRIES=${ENTRIES:-3}
@@ -21,13 +22,14 @@
 entry_peers() { echo "127.0.0.1:$((PORTS + 1100 + $1))"; }
 entry_http() { echo "127.0.0.1:$((PORTS + 1200 + $1))"; }
 
-# seeds lists the peer addresses of all entry hosts.
+# seeds prints the peer addresses of all entry hosts.
 seeds() {
   local list="" i
   for ((i = 0; i < ENTRIES; i++)); do list+="$(entry_peers "$i"),"; done
   echo "${list%,}"
 }
 
+# entry_settings prints the settings file of an entry host.
 entry_settings() {
   local i=$1 domains=(palermo catania trapani)
   cat <<INI
@@ -55,6 +57,7 @@
 INI
 }
 
+# start_entry starts an entry host in the background.
 start_entry() {
   local i=$1
   entry_settings "$i" >"$RUN_DIR/entry-$i.ini"
@@ -62,17 +65,19 @@
   ENTRY_PIDS[i]=$!
 }
 
+# wait_ready waits until an entry host is ready, and fails after 10 s.
 wait_ready() {
   local i=$1 tries
   for ((tries = 0; tries < 100; tries++)); do
     if curl -fsS -o /dev/null "http://$(entry_http "$i")/readyz" 2>/dev/null; then return 0; fi
     sleep 0.1
   done
-  echo "entry-$i is not ready; its log:" >&2
+  echo "entry-$i did not become ready; end of its log:" >&2
   tail -5 "$RUN_DIR/entry-$i.log" >&2
   return 1
 }
 
+# wait_platform waits until the stand-in platform serves, and fails after 10 s.
 wait_platform() {
   local tries
   for ((tries = 0; tries < 100; tries++)); do
@@ -80,11 +85,13 @@
     kill -0 "$PLATFORM_PID" 2>/dev/null || break
     sleep 0.1
   done
-  echo "the platform is not up; its log:" >&2
+  echo "the platform did not start; its log:" >&2
   cat "$RUN_DIR/platform.log" >&2
   return 1
 }
 
+# cluster_start starts all processes, applies the configuration and waits until all
+# entry hosts are ready.
 cluster_start() {
   local i
   "$BIN" standin platform --listen "$(platform_address)" --lag 500ms >"$RUN_DIR/platform.log" 2>&1 &
@@ -101,7 +108,7 @@
   for ((i = 0; i < ENTRIES; i++)); do wait_ready "$i"; done
 }
 
-# load_targets are the flags of the load tool for this cluster.
+# load_targets prints the flags of mallowgap load for this cluster.
 load_targets() {
   local i
   for ((i = 0; i < ENTRIES; i++)); do echo "--entry=$(entry_callers "$i") --ready=$(entry_http "$i")"; done
@@ -109,7 +116,7 @@
   echo "--platform-control=$(platform_address)"
 }
 
-# stop_entry stops one entry host as planned; its exit status is returned.
+# stop_entry shuts one entry host down gracefully and returns its exit status.
 stop_entry() {
   local pid=${ENTRY_PIDS[$1]}
   ENTRY_PIDS[$1]=
@@ -117,7 +124,8 @@
   wait "$pid"
 }
 
-# cluster_stop stops everything that this script started, by process id.
+# cluster_stop stops all processes that this script started, by process ID. It fails
+# if an entry host cut off requests.
 cluster_stop() {
   local status=0 i pid
   for i in "${!ENTRY_PIDS[@]}"; do
--- a/scripts/compare.sh
+++ b/scripts/compare.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs scenarios under the default policies and under the plainest ones, each on
-# a fresh cluster, and prints the tables.
+# Runs scenarios with the default policies and with simple baseline policies, each
+# on a new cluster, and prints the tables.
 # Usage: scripts/compare.sh DEPLOYMENT [SCENARIO...]
+# POLICIES=default runs the default policies only; PLOTS=DIRECTORY writes plots.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 deployment=$1
@@ -18,7 +19,7 @@
   . scripts/cluster.sh
   trap 'cluster_stop >/dev/null 2>&1' EXIT
   cluster_start >/dev/null || exit 1
-  [ "$name" = combined ] && REPARTITION_AFTER=12 # the first outage is over then
+  [ "$name" = combined ] && REPARTITION_AFTER=12 # after the first outage
   if [[ $name == versions || $name == combined ]]; then
     ( sleep ${REPARTITION_AFTER:-8}
       "$BIN" standin shape --deployment "$DEPLOYMENT" --base "$PORTS" --homes "$HOMES" --epoch 2 >"$RUN_DIR/config2.json"
@@ -36,6 +37,6 @@
   echo "== $deployment $name, default policies"
   POLICY=default run_one "$name"
   [ "${POLICIES:-both}" = both ] || continue
-  echo "== $deployment $name, plainest policies"
+  echo "== $deployment $name, baseline policies"
   TRAFFIC=$plain POLICY=plain run_one "$name"
 done
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Regenerates the code under api/ from the schemas beside it.
+# Regenerates the Go code in api/ from the .proto files. Needs protoc.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=$(mktemp -d)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Takes the guard of each promise out, in a scratch copy, and checks that the
-# promise's test then fails. Each line of the list: the tests (a|b), the file, what is
-# replaced (a Perl expression), what the change does.
+# Mutation tests: applies each mutation of the list to a scratch copy and checks that
+# the named tests then fail. Fields of a line, separated by @: the tests (a|b), the
+# file, the mutation (a Perl expression), and the fault that it introduces.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 scratch=$(mktemp -d)
@@ -14,7 +14,7 @@
   git ls-files -coz --exclude-standard | xargs -0 cp --parents -t "$scratch/tree"
   perl -0pi -e "$expression" "$scratch/tree/$file"
   if cmp -s "$file" "$scratch/tree/$file"; then
-    echo "STALE    $test: $meaning ($file no longer has it)"
+    echo "STALE    $test: $meaning (the expression does not match $file)"
     survived=1
   elif (cd "$scratch/tree" && go test ./admission ./internal/invariant ./config ./internal/gateway ./internal/control ./fanout ./route ./discovery ./retry ./replica ./platform ./internal/peer ./internal/packing ./internal/obs ./internal/explain ./scarcity ./limit ./quarantine ./internal/guard ./internal/home -run "^($test)\$" >"$scratch/out" 2>&1); then
     echo "SURVIVED $test: $meaning"
--- a/scripts/overhead.sh
+++ b/scripts/overhead.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures what the tier itself costs: latency against asking the leaves
-# directly, and processor time of an entry host a leaf call, at four rates.
+# Measures the overhead of the tier at four request rates: latency compared with
+# direct queries to the leaves, and processor time of an entry host per leaf call.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 ENTRIES=1
@@ -21,12 +21,12 @@
 rate = $rate
 deadline = 1s
 INI
-  echo "rate $rate/s, leaves asked directly:"
+  echo "rate $rate/s, direct queries to the leaves:"
   "$BIN" load --direct "$RUN_DIR/config.json" "$RUN_DIR/rate.ini" | grep one
   c0=$(cpu) a0=$(attempts)
   echo "rate $rate/s, through an entry host:"
   # shellcheck disable=SC2046
   "$BIN" load $(load_targets) "$RUN_DIR/rate.ini" | grep one
   c1=$(cpu) a1=$(attempts)
-  awk -v c=$((c1 - c0)) -v a=$((a1 - a0)) -v t="$ticks" 'BEGIN {printf "leaf calls %d, processor time %.2f s, %.1f us a leaf call\n", a, c / t, 1e6 * c / t / a}'
+  awk -v c=$((c1 - c0)) -v a=$((a1 - a0)) -v t="$ticks" 'BEGIN {printf "leaf calls %d, processor time %.2f s, %.1f us per leaf call\n", a, c / t, 1e6 * c / t / a}'
 done
--- a/scripts/soak-guards.sh
+++ b/scripts/soak-guards.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Takes one guard after the other out of a scratch copy and runs soak seeds until
-# one reports, at most $1 (default 12) of them. Prints the number of seeds needed.
-# GUARD=NAME runs one guard only.
+# Mutation tests for the soak: for each guard of the list, removes the guard in a
+# scratch copy and runs soak seeds until one detects a violation, at most $1 seeds
+# (default 12). Prints the number of seeds needed. GUARD=NAME tests one guard only.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 most=${1:-12}
@@ -15,16 +15,16 @@
   git ls-files -z --cached --others --exclude-standard -- '*.go' go.mod go.sum | xargs -0 cp --parents -t "$scratch/copy"
   for file in $2; do
     sed -i -E "$3" "$scratch/copy/$file"
-    if cmp -s "$file" "$scratch/copy/$file"; then echo "$1: the guard was not found in $file"; return 1; fi
+    if cmp -s "$file" "$scratch/copy/$file"; then echo "$1: the expression does not match $file"; return 1; fi
   done
   (cd "$scratch/copy" && go build -o "$scratch/mutant" ./cmd/mallowgap)
   for ((n = 0; n < most; n += 4)); do
     if ! (cd platform/soak && "$scratch/soak.test" -soak.binary "$scratch/mutant" -soak.seed $((1000 + n)) -soak.seeds 4 -soak.jobs 4 -soak.timed -soak.length 6s) >"$scratch/out" 2>&1; then
-      echo "$1: reported within $((n + 4)) seeds: $(grep -m1 -E '^ {8}[ic]' "$scratch/out" || true)"
+      echo "$1: detected within $((n + 4)) seeds: $(grep -m1 -E '^ {8}[ic]' "$scratch/out" || true)"
       return 0
     fi
   done
-  echo "$1: not reported within $most seeds"
+  echo "$1: not detected within $most seeds"
 }
 guard "whole answers" internal/httppool/pool.go 's/return nil, fmt.Errorf\("%w: %w", errTruncated, err\)/return body, nil/'
 guard "own answers" internal/httppool/pool.go 's/reusable := .*/reusable := !head.Close/; s/r.Mine != nil \&\& !r.Mine\(head\)/false/; s/\&\& quiet\(c.Conn\)//'
--- a/scripts/ways.sh
+++ b/scripts/ways.sh
@@ -1,10 +1,12 @@
 #!/usr/bin/env bash
-# Plays revisions on the same days and seeds of a deployment and prints their worth, the
-# differences to the first one and the spread of these. Journal entries are copied here.
+# Runs several revisions on the same days and seeds of the users' bench. Prints the
+# worth of each run, the means, and the mean differences from the first revision with
+# their standard errors. The journal entries of all runs are copied to journal/.
 #
 #   BENCH=PATH scripts/ways.sh SITE "DAY..." "SEED..." REVISION...
 #
-# BENCH is the users' bench, JOBS the number of days at a time (4). A seed of 0 is the day's own.
+# BENCH is the path of the bench, JOBS the number of concurrent runs (default 4). Seed 0
+# is the default seed of the day.
 set -euo pipefail
 : "${BENCH:?set it to the path of the bench}"
 cd "$(dirname "$0")/.."
@@ -14,7 +16,7 @@
 scratch=$(mktemp -d)
 ways=("$@")
 
-keep() { # The journal has every play, also where this is stopped.
+keep() { # copies the journal entries of all runs, also after an interrupt
   local w
   for w in "${ways[@]}"; do
     [ -d "$scratch/$w/journal" ] || continue
@@ -25,7 +27,7 @@
 trap 'keep; rm -rf "$scratch"' EXIT
 trap 'exit 1' INT TERM
 
-play() { # DIRECTORY DAY SEED: prints the worth of the day
+play() { # DIRECTORY DAY SEED: runs a day; prints its worth, and whether it was kept or broken
   cd "$1"
   local seed=()
   [ "$3" = 0 ] || seed=(--seed "$3")
@@ -59,7 +61,7 @@
     }
     printf "%-28s", "mean"; for (w = 1; w <= m; w++) printf "%10.3f", total[w] / n; print ""
     printf "%-28s", "difference"; for (w = 1; w <= m; w++) printf "%+10.3f", sum[w] / n; print ""
-    printf "%-28s", "its standard error"
+    printf "%-28s", "standard error"
     for (w = 1; w <= m; w++) { v = n > 1 ? (square[w] - sum[w] * sum[w] / n) / (n - 1) : 0; printf "%10.3f", sqrt(v > 0 ? v / n : 0) }
     print ""
   }'
