--- a/cmd/mallowgap/operator.go
+++ b/cmd/mallowgap/operator.go
@@ -30,7 +30,7 @@
 	CA      string        `long:"ca" description:"CA certificates to verify the host with (PEM file); TLS is off if not given."`
 	Cert    string        `long:"cert" description:"Client certificate (PEM file)."`
 	Key     string        `long:"key" description:"Key of the client certificate (PEM file)."`
-	Timeout time.Duration `long:"timeout" default:"10s" description:"Time limit of the whole command."`
+	Timeout time.Duration `long:"timeout" default:"10s" description:"Time limit for all calls of the command."`
 }
 
 // dial connects to the target. The returned context expires after the timeout.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -172,11 +172,11 @@
 // requestGaps describes what is missing from the request's lines.
 func requestGaps(requestLines []Line) []string {
 	var missing []string
-	hasEntryLine, relayed := false, false
+	hasRequestLine, relayed := false, false
 	for _, l := range requestLines {
 		switch l.Message {
 		case "request":
-			hasEntryLine = true
+			hasRequestLine = true
 			n, _ := l.Fields["relayed"].(float64)
 			relayed = relayed || n > 0
 			if dropped, ok := l.Fields["notes_dropped"].(float64); ok {
@@ -184,7 +184,7 @@
 			}
 		}
 	}
-	if !hasEntryLine {
+	if !hasRequestLine {
 		missing = append(missing, "the line of the host that received the request is missing")
 	}
 	if relayed && !slices.ContainsFunc(requestLines, func(l Line) bool { return l.Message == "relayed calls" }) {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -168,17 +168,17 @@
 // runLoad sends the requests of all classes, injects the faults, and waits for
 // the last reply.
 func (r *runner) runLoad(ctx context.Context, names []string) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	begin := time.Now().Add(r.scenario.GetRun().GetWarmup().AsDuration())
 	for i, name := range names {
 		class := r.scenario.GetClass()[name]
 		rng := rand.New(rand.NewPCG(r.scenario.GetRun().GetSeed(), uint64(i)))
-		all.Go(func() { r.sendArrivals(ctx, name, class, rng, begin) })
+		wg.Go(func() { r.sendArrivals(ctx, name, class, rng, begin) })
 	}
 	for _, f := range r.scenario.GetFault() {
-		all.Go(func() { r.runFault(ctx, f, begin) })
+		wg.Go(func() { r.runFault(ctx, f, begin) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // sendArrivals sends the requests of one class as a Poisson process and waits for
@@ -189,7 +189,7 @@
 	}
 	due := time.Now()
 	end := begin.Add(r.scenario.GetRun().GetDuration().AsDuration())
-	var sent sync.WaitGroup
+	var wg sync.WaitGroup
 	outstanding := make(chan struct{}, maxOutstandingPerClass)
 	for n := 0; ; n++ {
 		due = due.Add(time.Duration(rng.ExpFloat64() / class.GetRate() * float64(time.Second)))
@@ -201,14 +201,14 @@
 			Desk: class.GetDesk(), Service: class.GetService(), RequestId: fmt.Sprintf("%s-%s-%d", r.runID, name, n),
 			Query: []byte("surname=rossi"), NotRepeatable: class.GetNotRepeatable(),
 		}
-		at, client := due, r.balancer.pick()
+		dueAt, client := due, r.balancer.pick()
 		outstanding <- struct{}{}
-		sent.Go(func() {
+		wg.Go(func() {
 			defer func() { <-outstanding }()
-			r.sendAndRecord(ctx, name, class, client, ask, at, begin)
+			r.sendAndRecord(ctx, name, class, client, ask, dueAt, begin)
 		})
 	}
-	sent.Wait()
+	wg.Wait()
 }
 
 // sendAndRecord sends one request and records its result.
