--- a/cmd/mallowgap/capacity.go
+++ b/cmd/mallowgap/capacity.go
@@ -8,7 +8,7 @@
 
 type capacityCommand struct {
 	Args struct {
-		Page string `positional-arg-name:"PAGE" description:"Markdown page whose generated tables are replaced."`
+		Page string `positional-arg-name:"PAGE" description:"Page whose tables are rewritten."`
 	} `positional-args:"yes" required:"yes"`
 }
 
--- a/cmd/mallowgap/explain.go
+++ b/cmd/mallowgap/explain.go
@@ -9,8 +9,8 @@
 )
 
 type explainCommand struct {
-	Summary    bool `long:"summary" description:"Count the outcomes of all requests by route, cause and time; pass log files only."`
-	Quarantine bool `long:"quarantine" description:"Report the requests during which servers crashed; pass log files only."`
+	Summary    bool `long:"summary" description:"Count what became of all requests, by route, cause and time; give log files only."`
+	Quarantine bool `long:"quarantine" description:"Tell of the requests under which servers ended; give log files only."`
 	Args       struct {
 		Words []string `positional-arg-name:"REQUEST-ID LOG" description:"Identifier of the request, then the log files of the hosts." required:"1"`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/mallowgap/gateway.go
+++ b/cmd/mallowgap/gateway.go
@@ -33,7 +33,7 @@
 
 type gatewayCommand struct {
 	Args struct {
-		File string `positional-arg-name:"FILE" description:"Settings file (INI); defaults to the path in MALLOWGAP_SETTINGS."`
+		File string `positional-arg-name:"FILE" description:"Settings file (INI); by default the one that MALLOWGAP_SETTINGS names."`
 	} `positional-args:"yes"`
 }
 
--- a/cmd/mallowgap/load.go
+++ b/cmd/mallowgap/load.go
@@ -13,12 +13,12 @@
 
 type loadCommand struct {
 	Entries  []string `long:"entry" description:"Callers address of an entry host; may be repeated."`
-	Ready    []string `long:"ready" description:"HTTP address of the entry host given by the --entry in the same position; its readiness is polled."`
+	Ready    []string `long:"ready" description:"HTTP address of the entry host given by the --entry in the same place; its readiness is followed."`
 	Leaves   []string `long:"leaf-control" description:"Control address of a stand-in leaf process; may be repeated."`
 	Platform string   `long:"platform-control" description:"Address of the stand-in platform."`
-	Verify   bool     `long:"verify" description:"Compare the replies with the executions that the leaves recorded; fail on a violation."`
-	Lost     bool     `long:"allow-lost" description:"Do not fail on requests without a reply, such as those of a killed entry host."`
-	Direct   string   `long:"direct" description:"Configuration (JSON) whose leaves are queried directly, without entry hosts."`
+	Verify   bool     `long:"verify" description:"Hold the replies against what the leaves executed; exit 2 on a violation."`
+	Lost     bool     `long:"allow-lost" description:"Do not fail for requests without a reply, as when an entry host is killed."`
+	Direct   string   `long:"direct" description:"Configuration (JSON) whose leaves are asked without entry hosts."`
 	Plots    string   `long:"plots" description:"Directory to write SVG plots and an HTML page to."`
 	Title    string   `long:"title" default:"mallowgap" description:"Title of the plots."`
 	Args     struct {
--- a/cmd/mallowgap/operator.go
+++ b/cmd/mallowgap/operator.go
@@ -19,18 +19,18 @@
 
 type operatorCommand struct {
 	Get    getCommand    `command:"get" description:"Print the configuration in force as JSON"`
-	Apply  applyCommand  `command:"apply" description:"Replace the configuration with a JSON file"`
+	Apply  applyCommand  `command:"apply" description:"Replace the configuration by that of a JSON file"`
 	Wait   waitCommand   `command:"wait" description:"Wait until a revision is in force at every live entry host"`
 	Status statusCommand `command:"status" description:"Print members, homes and revisions"`
 }
 
 // target holds the flags of commands that call an entry host or a stand-in.
 type target struct {
-	Address string        `long:"address" required:"yes" description:"Address to call, IP:port: the callers address of an entry host or the control address of a stand-in."`
-	CA      string        `long:"ca" description:"CA certificates to verify the host with (PEM file); TLS is off if not given."`
-	Cert    string        `long:"cert" description:"Client certificate (PEM file)."`
-	Key     string        `long:"key" description:"Key of the client certificate (PEM file)."`
-	Timeout time.Duration `long:"timeout" default:"10s" description:"Time limit for all calls of the command."`
+	Address string        `long:"address" required:"yes" description:"Callers address of an entry host, IP:port."`
+	CA      string        `long:"ca" description:"Authorities of the host (PEM file); TLS is off without."`
+	Cert    string        `long:"cert" description:"Certificate to prove oneself with (PEM file)."`
+	Key     string        `long:"key" description:"Key of the certificate (PEM file)."`
+	Timeout time.Duration `long:"timeout" default:"10s" description:"Longest wait."`
 }
 
 // dial connects to the target. The returned context expires after the timeout.
@@ -70,8 +70,8 @@
 
 type applyCommand struct {
 	target
-	Expect   uint64 `long:"expect" description:"Revision that the change is based on; 0 for the first configuration."`
-	ChangeID string `long:"change-id" description:"Unique identifier of the change; apply again with the same one to learn whether a change was accepted."`
+	Expect   uint64 `long:"expect" description:"Revision the change was made from; 0 for the first."`
+	ChangeID string `long:"change-id" description:"Unique name of the change; repeat it to learn the fate of a change."`
 	Wait     bool   `long:"wait" description:"Wait until the change is in force everywhere."`
 	Args     struct {
 		File string `positional-arg-name:"FILE" description:"Configuration as JSON."`
--- a/cmd/mallowgap/quarantine.go
+++ b/cmd/mallowgap/quarantine.go
@@ -16,15 +16,15 @@
 )
 
 type quarantineCommand struct {
-	List  listQuarantineCommand  `command:"list" description:"Print the requests during which servers crashed, with their quarantine state"`
-	Clear clearQuarantineCommand `command:"clear" description:"Remove a request from quarantine on all hosts"`
+	List  listQuarantineCommand  `command:"list" description:"Print the requests under which servers ended, and what is done with them"`
+	Clear clearQuarantineCommand `command:"clear" description:"Let a request run again on all hosts"`
 }
 
 // storeTarget holds the flags that address the platform's store, where all
 // hosts keep their quarantine records.
 type storeTarget struct {
 	Address string        `long:"store" required:"yes" description:"Address of the platform's store, IP:port."`
-	Timeout time.Duration `long:"timeout" default:"5s" description:"Timeout of each call."`
+	Timeout time.Duration `long:"timeout" default:"5s" description:"Longest wait for each call."`
 }
 
 type listQuarantineCommand struct{ storeTarget }
@@ -32,7 +32,7 @@
 type clearQuarantineCommand struct {
 	storeTarget
 	Args struct {
-		Fingerprint string `positional-arg-name:"FINGERPRINT" description:"Fingerprint of the request, as in the list and in the log lines."`
+		Fingerprint string `positional-arg-name:"FINGERPRINT" description:"The request, as the list and the log lines name it."`
 	} `positional-args:"yes" required:"yes"`
 }
 
--- a/cmd/mallowgap/query.go
+++ b/cmd/mallowgap/query.go
@@ -11,10 +11,10 @@
 
 type queryCommand struct {
 	target
-	Desk    string `long:"desk" required:"yes" description:"Desk on whose behalf the request is sent."`
-	Service string `long:"service" required:"yes" description:"Service to query."`
-	Request string `long:"request-id" description:"Identifier of the request; generated if not given."`
-	Once    bool   `long:"not-repeatable" description:"Execute at most once; a ticket is fetched first."`
+	Desk    string `long:"desk" required:"yes" description:"Desk that asks."`
+	Service string `long:"service" required:"yes" description:"Service that is asked."`
+	Request string `long:"request-id" description:"Identifier of the request; made up if not given."`
+	Once    bool   `long:"not-repeatable" description:"Run at most once; a ticket is fetched first."`
 	Args    struct {
 		Query string `positional-arg-name:"QUERY"`
 	} `positional-args:"yes"`
--- a/cmd/mallowgap/settings.go
+++ b/cmd/mallowgap/settings.go
@@ -13,14 +13,14 @@
 
 type settingsCommand struct {
 	Check     checkSettings          `command:"check" description:"Check a settings file without starting anything"`
-	Print     printSettings          `command:"print" description:"Print the effective settings, defaults included"`
+	Print     printSettings          `command:"print" description:"Print the settings in force with their defaults"`
 	Reference printSettingsReference `command:"reference" description:"Print the reference of all settings as Markdown"`
 }
 
 // settingsFile holds the flags that name a settings file and its kind.
 type settingsFile struct {
-	Scenario bool `long:"scenario" description:"The file is a load scenario, not the settings of an entry host."`
-	Gateway  bool `long:"gateway" description:"The file holds the settings of a gateway."`
+	Scenario bool `long:"scenario" description:"The file is a load scenario, not that of an entry host."`
+	Gateway  bool `long:"gateway" description:"The file is that of a gateway."`
 	Args     struct {
 		File string `positional-arg-name:"FILE"`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/mallowgap/standin.go
+++ b/cmd/mallowgap/standin.go
@@ -14,8 +14,8 @@
 )
 
 type standinCommand struct {
-	Leaf     leafCommand     `command:"leaf" description:"Run all or some backend servers of a deployment"`
-	Platform platformCommand `command:"platform" description:"Run a stand-in for the platform's key-value service and host list"`
+	Leaf     leafCommand     `command:"leaf" description:"Run the backend servers of a deployment, or a part of them"`
+	Platform platformCommand `command:"platform" description:"Run the platform's key-value service and host list"`
 	Shape    shapeCommand    `command:"shape" description:"Print the configuration of a deployment as JSON"`
 	Fault    faultCommand    `command:"fault" description:"Change the faults of a running stand-in"`
 	Counters countersCommand `command:"counters" description:"Print the counters of a running stand-in"`
@@ -23,14 +23,14 @@
 
 // deploymentFlags name a deployment and the ports of its leaves.
 type deploymentFlags struct {
-	Deployment string `long:"deployment" default:"trinacria" description:"Name of the deployment: trinacria or veerik."`
-	Base       int    `long:"base" default:"21000" description:"Port of the first leaf; the others follow."`
+	Deployment string `long:"deployment" default:"trinacria" description:"trinacria or veerik."`
+	Base       int    `long:"base" default:"21000" description:"First port of the leaves."`
 }
 
 type shapeCommand struct {
 	deploymentFlags
-	Homes uint32 `long:"homes" default:"1" description:"Number of entry hosts that serve as homes of each service."`
-	Epoch uint64 `long:"epoch" default:"1" description:"Epoch of the shard maps; above 1 it is part of the shard names."`
+	Homes uint32 `long:"homes" default:"1" description:"Entry hosts that carry each service."`
+	Epoch uint64 `long:"epoch" default:"1" description:"Epoch of the shard maps; shards are named by it."`
 }
 
 // Execute prints the configuration of a deployment.
@@ -55,12 +55,12 @@
 
 type leafCommand struct {
 	deploymentFlags
-	Control string        `long:"control" required:"yes" description:"Address to serve control calls on."`
-	Part    int           `long:"part" default:"0" description:"Which part of the leaves this process runs, from 0 to parts-1."`
-	Parts   int           `long:"parts" default:"1" description:"Number of processes that share the leaves."`
-	Record  bool          `long:"record" description:"Record every execution, to verify replies."`
-	Faults  string        `long:"faults" description:"Initial faults of all leaves, as JSON (see LeafFaults in api/platformpb/platform.proto)."`
-	Service time.Duration `long:"service-time" description:"Mean service time; replaces that of the deployment."`
+	Control string        `long:"control" required:"yes" description:"Address for control calls."`
+	Part    int           `long:"part" default:"0" description:"Part of the leaves that this process runs."`
+	Parts   int           `long:"parts" default:"1" description:"Number of parts."`
+	Record  bool          `long:"record" description:"Keep every execution, to verify replies."`
+	Faults  string        `long:"faults" description:"Faults of all leaves at the start, as JSON (see LeafFaults in api/platformpb/platform.proto)."`
+	Service time.Duration `long:"service-time" description:"Mean service time instead of the deployment's."`
 }
 
 // Execute runs leaves until a stop signal arrives.
@@ -99,7 +99,7 @@
 type platformCommand struct {
 	Listen string        `long:"listen" required:"yes" description:"Address to serve on."`
 	Lag    time.Duration `long:"lag" default:"2s" description:"Lag of the host list."`
-	Faults string        `long:"faults" description:"Initial faults, as JSON (see PlatformFaults in api/platformpb/platform.proto)."`
+	Faults string        `long:"faults" description:"Faults at the start, as JSON (see PlatformFaults in api/platformpb/platform.proto)."`
 }
 
 // Execute runs the platform until a stop signal arrives.
@@ -132,7 +132,7 @@
 
 type faultCommand struct {
 	target
-	Platform bool `long:"platform" description:"The stand-in is the platform, not leaves."`
+	Platform bool `long:"platform" description:"The stand-in is a platform, not leaves."`
 	Args     struct {
 		JSON string `positional-arg-name:"JSON" description:"Faults, such as {\"slowFactor\": 10, \"address\": \"127.0.0.1:21000\"}."`
 	} `positional-args:"yes" required:"yes"`
