--- a/cmd/mallowgap/capacity.go
+++ b/cmd/mallowgap/capacity.go
@@ -12,7 +12,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute measures the slopes and rewrites the page.
+// Execute runs the capacity measurements and replaces the tables of the page.
 func (c *capacityCommand) Execute([]string) error {
 	return capacity.Measure(os.Stdout).Rewrite(c.Args.Page)
 }
--- a/cmd/mallowgap/load.go
+++ b/cmd/mallowgap/load.go
@@ -34,7 +34,7 @@
 	}
 	targets := load.Targets{Entries: c.Entries, Ready: c.Ready, LeafControls: c.Leaves, PlatformControl: c.Platform}
 	if len(c.Entries) == 0 && c.Direct == "" {
-		return errors.New("nothing to send to: give --entry, or --direct with a configuration")
+		return errors.New("no target: give --entry, or --direct with a configuration")
 	}
 	if c.Direct != "" {
 		config, err := readConfig(c.Direct)
--- a/cmd/mallowgap/standin.go
+++ b/cmd/mallowgap/standin.go
@@ -21,19 +21,19 @@
 	Counters countersCommand `command:"counters" description:"Print the counters of a running stand-in"`
 }
 
-// deployment names the leaves of a deployment.
-type deployment struct {
+// deploymentFlags name a deployment and the ports of its leaves.
+type deploymentFlags struct {
 	Deployment string `long:"deployment" default:"trinacria" description:"trinacria or veerik."`
 	Base       int    `long:"base" default:"21000" description:"First port of the leaves."`
 }
 
 type shapeCommand struct {
-	deployment
+	deploymentFlags
 	Homes uint32 `long:"homes" default:"1" description:"Entry hosts that carry each service."`
 	Epoch uint64 `long:"epoch" default:"1" description:"Epoch of the shard maps; shards are named by it."`
 }
 
-// Execute prints a configuration.
+// Execute prints the configuration of a deployment.
 func (c *shapeCommand) Execute([]string) error {
 	d, err := standin.FindDeployment(c.Deployment)
 	if err != nil {
@@ -54,7 +54,7 @@
 }
 
 type leafCommand struct {
-	deployment
+	deploymentFlags
 	Control string        `long:"control" required:"yes" description:"Address for control calls."`
 	Part    int           `long:"part" default:"0" description:"Part of the leaves that this process runs."`
 	Parts   int           `long:"parts" default:"1" description:"Number of parts."`
@@ -63,7 +63,7 @@
 	Service time.Duration `long:"service-time" description:"Mean service time instead of the deployment's."`
 }
 
-// Execute runs leaves until the process is told to stop.
+// Execute runs leaves until a stop signal arrives.
 func (c *leafCommand) Execute([]string) error {
 	d, err := standin.FindDeployment(c.Deployment)
 	if err != nil {
@@ -102,7 +102,7 @@
 	Faults string        `long:"faults" description:"Faults at the start, as JSON (see PlatformFaults in api/platformpb/platform.proto)."`
 }
 
-// Execute runs the platform until the process is told to stop.
+// Execute runs the platform until a stop signal arrives.
 func (c *platformCommand) Execute([]string) error {
 	faults := &platformpb.PlatformFaults{HostListLagMs: uint32(c.Lag.Milliseconds())}
 	if err := parseFaults(c.Faults, faults); err != nil {
@@ -116,6 +116,7 @@
 	return serveUntilStopped(server, c.Listen)
 }
 
+// serveUntilStopped serves on address until a stop signal arrives.
 func serveUntilStopped(server *grpc.Server, address string) error {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
@@ -137,7 +138,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute changes faults.
+// Execute sets the faults of a running stand-in.
 func (c *faultCommand) Execute([]string) error {
 	conn, ctx, cancel, err := c.dial()
 	if err != nil {
@@ -161,23 +162,23 @@
 	return err
 }
 
-// parseFaults reads faults from JSON over what target holds; no text changes
-// nothing.
+// parseFaults merges faults given as JSON into target. Empty text leaves target
+// unchanged.
 func parseFaults(text string, target proto.Message) error {
 	if text == "" {
 		return nil
 	}
-	given := target.ProtoReflect().New().Interface()
-	if err := protojson.Unmarshal([]byte(text), given); err != nil {
+	parsed := target.ProtoReflect().New().Interface()
+	if err := protojson.Unmarshal([]byte(text), parsed); err != nil {
 		return fmt.Errorf("faults: %w: see %s in api/platformpb/platform.proto", err, target.ProtoReflect().Descriptor().Name())
 	}
-	proto.Merge(target, given)
+	proto.Merge(target, parsed)
 	return nil
 }
 
 type countersCommand struct{ target }
 
-// Execute prints counters.
+// Execute prints the counters of a running stand-in.
 func (c *countersCommand) Execute([]string) error {
 	conn, ctx, cancel, err := c.dial()
 	if err != nil {
