--- a/internal/invariant/answers_test.go
+++ b/internal/invariant/answers_test.go
@@ -6,45 +6,44 @@
 	"pgregory.net/rapid"
 )
 
-// property runs a property over runs of the given kinds.
-func property(t *testing.T, allowed ...kind) {
+// checkProperty checks the invariants over random runs with steps of the allowed kinds.
+func checkProperty(t *testing.T, allowed ...stepKind) {
 	rapid.Check(t, func(rt *rapid.T) {
-		run := steps(rt, allowed...)
-		report(rt, inWorld(t, func(_ *testing.T, w *world) { w.play(run) }))
+		run := drawSteps(rt, allowed...)
+		failOnViolations(rt, withCluster(t, func(_ *testing.T, cl *cluster) { cl.runSteps(run) }))
 	})
 }
 
-// TestInvariantSnapshot: every answer is drawn from one snapshot, while index
-// versions change, shards are repartitioned and leaves answer from others.
+// All rows of an answer must come from one snapshot while index versions change, shards are
+// repartitioned and leaves answer from other versions.
 func TestInvariantSnapshot(t *testing.T) {
 	t.Parallel()
-	property(t, askSearch, askSearch, askSearch, versions, versions, repartition, leafFault, leafHeal)
+	checkProperty(t, askSearch, askSearch, askSearch, versions, versions, repartition, leafFault, leafRecovery)
 }
 
-// TestInvariantCoverage: the coverage names exactly the shards that
-// contributed, while leaves die, stall, fail and cut parts short.
+// The coverage of an answer must name exactly the shards that contributed while leaves are down,
+// stall, fail and truncate parts.
 func TestInvariantCoverage(t *testing.T) {
 	t.Parallel()
-	property(t, askSearch, askSearch, askSearch, leafFault, leafFault, leafHeal, versions, killHost)
+	checkProperty(t, askSearch, askSearch, askSearch, leafFault, leafFault, leafRecovery, versions, killHost)
 }
 
-// TestInvariantCorrelation: each desk gets the answer to its own request, even
-// when leaves answer late, twice or to others.
+// Each caller must get the answer to its own request even if leaves answer late, twice or with the
+// reply to another request.
 func TestInvariantCorrelation(t *testing.T) {
 	t.Parallel()
-	property(t, askSearch, askSearch, askTag, leafFault, leafHeal, freezeHost, thawHost, killHost)
+	checkProperty(t, askSearch, askSearch, askTag, leafFault, leafRecovery, freezeHost, thawHost, killHost)
 }
 
-// TestInvariantNotRun: what was called not run was executed nowhere.
+// A request that was reported as not run must not have been executed by any leaf.
 func TestInvariantNotRun(t *testing.T) {
 	t.Parallel()
-	property(t, askSearch, askSearch, askTag, askTag, leafFault, leafHeal, freezeHost, thawHost, killHost, cutHosts, mendHosts, versions)
+	checkProperty(t, askSearch, askSearch, askTag, askTag, leafFault, leafRecovery, freezeHost, thawHost, killHost, cutHosts, reconnectHosts, versions)
 }
 
-// TestInvariantAtMostOnce: a request that is not repeatable runs at most once,
-// while it is sent again through other hosts and hosts freeze, die, are cut off
-// and the platform is out.
+// A request that is not repeatable must run at most once while it is resent through other hosts,
+// hosts freeze, crash and are cut off, and the platform has outages.
 func TestInvariantAtMostOnce(t *testing.T) {
 	t.Parallel()
-	property(t, askTag, askTag, askTag, leafFault, leafHeal, freezeHost, thawHost, killHost, cutHosts, mendHosts, outage, outageEnd)
+	checkProperty(t, askTag, askTag, askTag, leafFault, leafRecovery, freezeHost, thawHost, killHost, cutHosts, reconnectHosts, outage, outageEnd)
 }
--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -1,5 +1,4 @@
-// Package invariant holds the proofs of what must always hold. Its tests run
-// whole entry hosts over in-memory edges in fake time, bring failures about,
-// and hold a record of what desks, operators and leaves saw against a small
-// oracle. The package has no code of its own.
+// Package invariant tests the invariants of the entry hosts. The tests run complete hosts on fake
+// servers, peers and platform services in fake time, inject faults, and check what callers,
+// operators and backend servers observed. The package contains tests only.
 package invariant
--- a/internal/invariant/input_test.go
+++ b/internal/invariant/input_test.go
@@ -12,11 +12,10 @@
 	"github.com/mallowgap/mallowgap/once"
 )
 
-// TestBadInput: bad input gets a typed refusal with its remedy, and the host
-// goes on.
+// Invalid requests must be refused with a reason, and the host must continue to serve.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	problems := inWorld(t, func(t *testing.T, w *world) {
+	violations := withCluster(t, func(t *testing.T, cl *cluster) {
 		for _, c := range []struct {
 			ask    *callerpb.AskRequest
 			reason callerpb.Reason
@@ -27,47 +26,47 @@
 			{&callerpb.AskRequest{Desk: "gate-1", Service: "none", RequestId: "b"}, callerpb.Reason_UNKNOWN_SERVICE, "correct the name"},
 			{&callerpb.AskRequest{Desk: "gate-1", Service: "tags", RequestId: "c"}, callerpb.Reason_TICKET_REQUIRED, "send it again with"},
 		} {
-			reply := w.send(0, c.ask, 100*time.Millisecond)
+			reply := cl.send(0, c.ask, 100*time.Millisecond)
 			assert.Equal(t, reply.GetOutcome(), callerpb.Outcome_NOT_RUN)
 			assert.Equal(t, reply.GetReason(), c.reason)
 			assert.Assert(t, len(reply.GetMessage()) > 0)
 		}
-		late := w.send(0, &callerpb.AskRequest{Desk: "gate-1", Service: "search", RequestId: "d"}, 0)
+		late := cl.send(0, &callerpb.AskRequest{Desk: "gate-1", Service: "search", RequestId: "d"}, 0)
 		assert.Equal(t, late.GetReason(), callerpb.Reason_DEADLINE_TOO_SHORT)
-		bad := w.send(0, tagRequest("e", []byte("nonsense")), 100*time.Millisecond)
-		assert.Equal(t, bad.GetOutcome(), callerpb.Outcome_UNKNOWN, "a copy with the right ticket may have run")
+		bad := cl.send(0, tagRequest("e", []byte("nonsense")), 100*time.Millisecond)
+		assert.Equal(t, bad.GetOutcome(), callerpb.Outcome_UNKNOWN, "a copy with a valid ticket may have run")
 		assert.Equal(t, bad.GetReason(), callerpb.Reason_TICKET_INVALID)
-		reply, err := w.apply(0, 7, "wrong-revision", testConfig(1, shards), time.Second)
+		reply, err := cl.apply(0, 7, "wrong-revision", testConfig(1, numShards), time.Second)
 		assert.NilError(t, err)
 		assert.Equal(t, reply.GetOutcome(), operatorpb.ApplyOutcome_CONFLICT)
 		assert.Equal(t, reply.GetRevision(), uint64(1))
-		good := w.send(0, &callerpb.AskRequest{Desk: "gate-1", Service: "search", RequestId: "f"}, 100*time.Millisecond)
+		good := cl.send(0, &callerpb.AskRequest{Desk: "gate-1", Service: "search", RequestId: "f"}, 100*time.Millisecond)
 		assert.Equal(t, good.GetOutcome(), callerpb.Outcome_ANSWERED)
 	})
-	for _, p := range problems {
-		t.Error(p)
+	for _, v := range violations {
+		t.Error(v)
 	}
 }
 
-// TestResendGetsTheOutcome: a desk that went away while its request ran gets
-// the outcome when it sends again, through another host, and nothing runs twice.
+// A caller that disconnected while its request ran must get the outcome when it resends the request
+// through any host, without a second execution.
 func TestResendGetsTheOutcome(t *testing.T) {
 	t.Parallel()
-	problems := inWorld(t, func(t *testing.T, w *world) {
-		first := w.send(0, tagRequest("once-a", nil), 300*time.Millisecond)
+	violations := withCluster(t, func(t *testing.T, cl *cluster) {
+		first := cl.send(0, tagRequest("once-a", nil), 300*time.Millisecond)
 		ticket, err := once.Decode(first.GetTicket())
 		assert.NilError(t, err)
 		minter := int(ticket.Host[len("entry-")] - '0')
-		gone, cancel := context.WithTimeout(context.Background(), time.Second)
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		time.AfterFunc(4*time.Millisecond, cancel)
-		_, _ = w.daemons[minter].daemon.Ask(gone, tagRequest("once-a", first.GetTicket()))
-		for i := range hosts {
-			again := w.send(i, tagRequest("once-a", first.GetTicket()), 300*time.Millisecond)
+		_, _ = cl.daemons[minter].daemon.Ask(ctx, tagRequest("once-a", first.GetTicket()))
+		for i := range numHosts {
+			again := cl.send(i, tagRequest("once-a", first.GetTicket()), 300*time.Millisecond)
 			assert.Equal(t, again.GetOutcome(), callerpb.Outcome_ANSWERED)
 		}
-		assert.Equal(t, len(w.fleet.Executions()), 1)
+		assert.Equal(t, len(cl.fleet.Executions()), 1)
 	})
-	for _, p := range problems {
-		t.Error(p)
+	for _, v := range violations {
+		t.Error(v)
 	}
 }
--- a/internal/invariant/nemesis_test.go
+++ b/internal/invariant/nemesis_test.go
@@ -14,11 +14,11 @@
 	"github.com/mallowgap/mallowgap/internal/leaf/leaffake"
 )
 
-// fixedSeed makes every run of the tests the same. Fresh seeds are drawn if
-// MALLOWGAP_FRESH is set, as make fuzz does.
+// fixedSeed makes all runs of the tests identical. If MALLOWGAP_FRESH is set, as by make fuzz,
+// rapid draws a new seed.
 const fixedSeed = "20261202"
 
-// fixedChecks is the number of runs of a property with the fixed seed.
+// fixedChecks is the number of runs of each property with the fixed seed.
 const fixedChecks = "60"
 
 func TestMain(m *testing.M) {
@@ -31,21 +31,21 @@
 	os.Exit(m.Run())
 }
 
-// kind is what a step does.
-type kind int
+// stepKind is the action of a step.
+type stepKind int
 
 const (
-	askSearch kind = iota
+	askSearch stepKind = iota
 	askTag
 	leafFault
-	leafHeal
+	leafRecovery
 	versions
 	repartition
 	killHost
 	freezeHost
 	thawHost
 	cutHosts
-	mendHosts
+	reconnectHosts
 	outage
 	outageEnd
 	loseReplies
@@ -54,22 +54,22 @@
 	staleReads
 )
 
-// step is one step of a run; a, b and c choose among what the kind offers.
+// step is one step of a run. A, B and C select among the variants of the action; Pause follows it.
 type step struct {
-	Kind    kind
+	Kind    stepKind
 	A, B, C int
 	Pause   time.Duration
 }
 
-// String prints a step of a failing run.
+// String formats a step in the output of a failing run.
 func (s step) String() string {
-	names := [...]string{"askSearch", "askTag", "leafFault", "leafHeal", "versions", "repartition", "killHost",
-		"freezeHost", "thawHost", "cutHosts", "mendHosts", "outage", "outageEnd", "loseReplies", "delayWrites", "deliverWrites", "staleReads"}
+	names := [...]string{"askSearch", "askTag", "leafFault", "leafRecovery", "versions", "repartition", "killHost",
+		"freezeHost", "thawHost", "cutHosts", "reconnectHosts", "outage", "outageEnd", "loseReplies", "delayWrites", "deliverWrites", "staleReads"}
 	return fmt.Sprintf("{%s %d %d %d %v}", names[s.Kind], s.A, s.B, s.C, s.Pause)
 }
 
-// steps draws a run of the given kinds. Requests come in twice as often.
-func steps(rt *rapid.T, allowed ...kind) []step {
+// drawSteps draws the steps of a run; kinds that are listed more than once are more frequent.
+func drawSteps(rt *rapid.T, allowed ...stepKind) []step {
 	one := rapid.Custom(func(rt *rapid.T) step {
 		return step{
 			Kind:  rapid.SampledFrom(allowed).Draw(rt, "kind"),
@@ -82,56 +82,59 @@
 	return rapid.SliceOfN(one, 20, 60).Draw(rt, "steps")
 }
 
-// play plays a run.
-func (w *world) play(run []step) {
+// runSteps runs the steps of a run.
+func (cl *cluster) runSteps(run []step) {
 	for n, s := range run {
-		w.one(n, s)
+		cl.runStep(n, s)
 		time.Sleep(s.Pause)
 	}
 }
 
-func (w *world) one(n int, s step) {
-	i := s.A % hosts
+// runStep runs step n.
+func (cl *cluster) runStep(n int, s step) {
+	i := s.A % numHosts
 	switch s.Kind {
 	case askSearch:
-		w.askSearch(n, s)
+		cl.askSearch(n, s)
 	case askTag:
-		w.askTag(n, s)
+		cl.askTag(n, s)
 	case leafFault:
-		w.fleet.SetFaults(anyLeaf(s.A), faultOf(s.B))
-	case leafHeal:
-		w.fleet.SetFaults(anyLeaf(s.A), leaffake.Faults{})
+		cl.fleet.SetFaults(anyLeaf(s.A), faultOf(s.B))
+	case leafRecovery:
+		cl.fleet.SetFaults(anyLeaf(s.A), leaffake.Faults{})
 	case versions:
-		w.fleet.SetVersions(leafAddress(s.A%(shards*replicas)), [][]uint64{{1}, {1, 2}, {2}, {2, 3}, {3}}[s.B%5])
+		cl.fleet.SetVersions(leafAddress(s.A%(numShards*numReplicas)), [][]uint64{{1}, {1, 2}, {2}, {2, 3}, {3}}[s.B%5])
 	case repartition:
-		w.repartition(n, s)
+		cl.repartition(n, s)
 	case killHost:
-		if w.usable(i) {
-			w.killHost(i)
-			w.start(i)
+		if cl.usable(i) {
+			cl.killHost(i)
+			cl.start(i)
 		}
 	case freezeHost:
-		w.freeze(i)
+		cl.freeze(i)
 	case thawHost:
-		w.thaw(i)
-	case cutHosts, mendHosts:
-		w.network.Cut(peerAddress(i), peerAddress(s.B%hosts), s.Kind == cutHosts)
+		cl.thaw(i)
+	case cutHosts, reconnectHosts:
+		cl.network.Cut(peerAddress(i), peerAddress(s.B%numHosts), s.Kind == cutHosts)
 	case outage, outageEnd:
-		w.platform.SetOutage(s.Kind == outage)
+		cl.platform.SetOutage(s.Kind == outage)
 	case loseReplies:
-		w.platform.LoseReplies(config.HeadKey, 1+s.A%3)
+		cl.platform.LoseReplies(config.HeadKey, 1+s.A%3)
 	case staleReads:
-		w.platform.StaleReads(1 + s.A%4)
+		cl.platform.StaleReads(1 + s.A%4)
 	}
 }
 
+// anyLeaf selects a leaf of either service by a number.
 func anyLeaf(a int) string {
 	if a%2 == 0 {
-		return poolAddress(a / 2 % poolLeaves)
+		return poolAddress(a / 2 % numPoolLeaves)
 	}
-	return leafAddress(a / 2 % (shards * replicas))
+	return leafAddress(a / 2 % (numShards * numReplicas))
 }
 
+// faultOf selects a fault by a number.
 func faultOf(b int) leaffake.Faults {
 	return []leaffake.Faults{
 		{Down: true}, {LoseReplies: true}, {LoseReplies: true}, {Slow: 50 * time.Millisecond}, {Slow: 2 * time.Second}, {Draining: true},
@@ -139,22 +142,23 @@
 	}[b%11]
 }
 
-func (w *world) askSearch(n int, s step) {
+// askSearch sends a burst of repeatable requests.
+func (cl *cluster) askSearch(n int, s step) {
 	for burst := range 1 + s.C%8 {
 		desk := []string{"gate-1", "office-1"}[(s.B+burst)%2]
 		ask := &callerpb.AskRequest{Desk: desk, Service: "search", RequestId: fmt.Sprintf("q-%d-%d", n, burst)}
 		timeout := []time.Duration{20, 100, 400}[s.B%3] * time.Millisecond
-		w.sends.Go(func() { w.send((s.A+burst)%hosts, ask, timeout) })
+		cl.sends.Go(func() { cl.send((s.A+burst)%numHosts, ask, timeout) })
 	}
 }
 
-// askTag prints a tag as a desk does: it fetches a ticket, sends, and while it
-// has no answer sends again through other hosts. The balancer may double a
-// send. A desk that is told that its request was not run comes back or not.
-func (w *world) askTag(n int, s step) {
-	w.sends.Go(func() {
+// askTag sends a request that is not repeatable as a caller does: it obtains a ticket, sends, and
+// resends through other hosts until it has an answer. The balancer may duplicate a send. If the
+// request was reported as not run, the caller gives up or sends it anew.
+func (cl *cluster) askTag(n int, s step) {
+	cl.sends.Go(func() {
 		id := fmt.Sprintf("once-%d", n)
-		reply := w.send(s.A%hosts, tagRequest(id, nil), 300*time.Millisecond)
+		reply := cl.send(s.A%numHosts, tagRequest(id, nil), 300*time.Millisecond)
 		ticket := reply.GetTicket()
 		for try := range 5 {
 			if reply.GetOutcome() == callerpb.Outcome_NOT_RUN {
@@ -163,16 +167,16 @@
 				}
 				ticket = reply.GetTicket()
 				if try > 0 {
-					w.comeBack(id)
+					cl.markResent(id)
 				}
 			}
 			if len(ticket) == 0 || reply.GetOutcome() == callerpb.Outcome_ANSWERED {
 				return
 			}
 			if (s.B+try)%3 == 0 {
-				w.sends.Go(func() { w.send((s.A+try+1)%hosts, tagRequest(id, ticket), 300*time.Millisecond) })
+				cl.sends.Go(func() { cl.send((s.A+try+1)%numHosts, tagRequest(id, ticket), 300*time.Millisecond) })
 			}
-			reply = w.send((s.A+try)%hosts, tagRequest(id, ticket), 300*time.Millisecond)
+			reply = cl.send((s.A+try)%numHosts, tagRequest(id, ticket), 300*time.Millisecond)
 		}
 	})
 }
@@ -181,23 +185,23 @@
 	return &callerpb.AskRequest{Desk: "gate-1", Service: "tags", RequestId: id, NotRepeatable: true, Ticket: ticket}
 }
 
-// comeBack notes that a desk sends a request anew that was called not run.
-// What it was told before holds for the ticket it had then.
-func (w *world) comeBack(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cameBack[id] = true
+// markResent records that a caller sends a request anew that was reported as not run. The earlier
+// report applies only to the former ticket.
+func (cl *cluster) markResent(id string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.resent[id] = true
 }
 
-// repartition applies another shard map through some host.
-func (w *world) repartition(n int, s step) {
-	if !w.usable(s.A % hosts) {
+// repartition applies another shard map through one of the hosts.
+func (cl *cluster) repartition(n int, s step) {
+	if !cl.usable(s.A % numHosts) {
 		return
 	}
-	w.epoch++
-	next := testConfig(w.epoch, []int{shards, shards + 2, shards - 1}[s.B%3])
-	w.sends.Go(func() {
-		revision := w.daemons[s.A%hosts].daemon.View().Revision
-		_, _ = w.apply(s.A%hosts, revision, fmt.Sprintf("change-%d", n), next, 2*time.Second)
+	cl.epoch++
+	next := testConfig(cl.epoch, []int{numShards, numShards + 2, numShards - 1}[s.B%3])
+	cl.sends.Go(func() {
+		revision := cl.daemons[s.A%numHosts].daemon.View().Revision
+		_, _ = cl.apply(s.A%numHosts, revision, fmt.Sprintf("change-%d", n), next, 2*time.Second)
 	})
 }
--- a/internal/invariant/world_test.go
+++ b/internal/invariant/world_test.go
@@ -26,84 +26,84 @@
 )
 
 const (
-	hosts       = 3
-	shards      = 4
-	replicas    = 2
-	poolLeaves  = 3
-	slots       = 2
-	serviceTime = 5 * time.Millisecond
-	oneWay      = 500 * time.Microsecond
-	// lastArrival is the time in which all that is on its way arrives.
-	lastArrival = 15 * time.Second
+	numHosts      = 3
+	numShards     = 4
+	numReplicas   = 2
+	numPoolLeaves = 3
+	slotsPerLeaf  = 2
+	serviceTime   = 5 * time.Millisecond
+	oneWayDelay   = 500 * time.Microsecond
+	// deliveryBound is the time within which all messages in transit arrive.
+	deliveryBound = 15 * time.Second
 )
 
-// told is what a desk was told about one send.
-type told struct {
+// exchange is a request that a caller sent and the reply that it got.
+type exchange struct {
 	ask   *callerpb.AskRequest
 	reply *callerpb.AskReply
 	at    time.Time
 }
 
-// world is a small deployment with its record.
-type world struct {
+// cluster is a small deployment and the record of what callers observed.
+type cluster struct {
 	fleet    *leaffake.Fleet
 	network  *peerfake.Network
 	platform *platformfake.Platform
 	daemons  []*host
 	sends    sync.WaitGroup
 
-	mu       sync.Mutex
-	told     []told
-	problems []string
-	// cameBack are the requests that were sent anew after they were called not
-	// run, as a desk may.
-	cameBack map[string]bool
-	epoch    uint64
+	mu         sync.Mutex
+	exchanges  []exchange
+	violations []string
+	// resent holds the requests that callers sent anew after they were reported as not run.
+	resent map[string]bool
+	epoch  uint64
 }
 
-// host is one entry host and how to end it.
+// host is an entry host and its state.
 type host struct {
-	daemon  *entry.Daemon
-	address string
-	starts  uint64
-	kill    context.CancelFunc
-	dead    bool
-	left    bool
-	frozen  bool
-	seen    uint64
+	daemon       *entry.Daemon
+	address      string
+	starts       uint64
+	kill         context.CancelFunc
+	dead         bool
+	leaving      bool
+	frozen       bool
+	lastRevision uint64
 }
 
-func (w *world) problem(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.problems = append(w.problems, fmt.Sprintf(format, args...))
+// violationf records a violation of an invariant.
+func (cl *cluster) violationf(format string, args ...any) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.violations = append(cl.violations, fmt.Sprintf(format, args...))
 }
 
 func leafAddress(i int) string { return fmt.Sprintf("10.0.0.%d:7000", i+1) }
 
 func poolAddress(i int) string { return fmt.Sprintf("10.0.1.%d:7000", i+1) }
 
-// testConfig has one sharded service, "search", and one pool whose requests
+// testConfig returns a configuration with a sharded service, "search", and a pool whose requests
 // are not repeatable, "tags".
 func testConfig(epoch uint64, shardCount int) *configpb.Config {
 	c := &configpb.Config{
 		Classes: []*configpb.Class{{Name: "gate", Rank: 0}, {Name: "office", Rank: 1}},
 		Desks:   []*configpb.Desk{{Name: "gate-1", Class: "gate"}, {Name: "office-1", Class: "office"}},
 	}
-	search := &configpb.Service{Name: "search", Epoch: epoch, Slots: slots, Connections: 25}
+	search := &configpb.Service{Name: "search", Epoch: epoch, Slots: slotsPerLeaf, Connections: 25}
 	for i := range shardCount {
 		s := &configpb.Shard{
 			Name: fmt.Sprintf("e%d-s%d", epoch, i),
 			From: uint32(config.KeySpace * i / shardCount), To: uint32(config.KeySpace * (i + 1) / shardCount),
 		}
-		for r := range replicas {
-			s.Replicas = append(s.Replicas, &configpb.Replica{Address: leafAddress((i*replicas + r) % (shards * replicas)), FailureDomain: fmt.Sprint(r)})
+		for r := range numReplicas {
+			s.Replicas = append(s.Replicas, &configpb.Replica{Address: leafAddress((i*numReplicas + r) % (numShards * numReplicas)), FailureDomain: fmt.Sprint(r)})
 		}
 		search.Shards = append(search.Shards, s)
 	}
-	tags := &configpb.Service{Name: "tags", Epoch: 1, Slots: slots, Connections: 25, NotRepeatable: true}
+	tags := &configpb.Service{Name: "tags", Epoch: 1, Slots: slotsPerLeaf, Connections: 25, NotRepeatable: true}
 	pool := &configpb.Shard{Name: "pool", To: config.KeySpace}
-	for i := range poolLeaves {
+	for i := range numPoolLeaves {
 		pool.Replicas = append(pool.Replicas, &configpb.Replica{Address: poolAddress(i), FailureDomain: fmt.Sprint(i)})
 	}
 	tags.Shards = []*configpb.Shard{pool}
@@ -115,7 +115,7 @@
 
 func hostSettings(i int) *settingspb.Entry {
 	var seeds []string
-	for j := range hosts {
+	for j := range numHosts {
 		seeds = append(seeds, peerAddress(j))
 	}
 	return &settingspb.Entry{
@@ -133,114 +133,113 @@
 	}
 }
 
-func newWorld() *world {
-	w := &world{
-		fleet:    leaffake.New(slots, serviceTime, oneWay),
-		network:  peerfake.New(oneWay),
+func newCluster() *cluster {
+	cl := &cluster{
+		fleet:    leaffake.New(slotsPerLeaf, serviceTime, oneWayDelay),
+		network:  peerfake.New(oneWayDelay),
 		platform: platformfake.New(),
 		epoch:    1,
-		cameBack: map[string]bool{},
+		resent:   map[string]bool{},
 	}
-	w.fleet.Gate = w.gate
-	for i := range hosts {
-		w.daemons = append(w.daemons, &host{address: peerAddress(i)})
-		w.start(i)
+	cl.fleet.Gate = cl.gate
+	for i := range numHosts {
+		cl.daemons = append(cl.daemons, &host{address: peerAddress(i)})
+		cl.start(i)
 	}
-	return w
+	return cl
 }
 
-// gate holds back what a frozen host sends and drops what a dead one would.
-func (w *world) gate(attempt string) bool {
+// gate blocks the attempts of a frozen host and reports false for those of a dead one.
+func (cl *cluster) gate(attempt string) bool {
 	var name string
 	var incarnation uint64
 	name, rest, _ := strings.Cut(attempt, "/")
 	_, _ = fmt.Sscanf(rest, "%d/", &incarnation)
-	for i, h := range w.daemons {
+	for i, h := range cl.daemons {
 		if name != fmt.Sprintf("entry-%d", i) {
 			continue
 		}
-		w.network.Await(h.address)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		cl.network.Await(h.address)
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
 		return !h.dead && h.starts == incarnation
 	}
 	return false
 }
 
-// start starts a host as a new incarnation. The record of what was seen at the
-// host begins anew with it, at the same moment.
-func (w *world) start(i int) {
-	h := w.daemons[i]
+// start starts a host as a new incarnation and resets the state observed for it.
+func (cl *cluster) start(i int) {
+	h := cl.daemons[i]
 	ctx, cancel := context.WithCancel(context.Background())
-	edges := entry.Edges{Store: w.platform, Hosts: w.platform, Leafs: w.fleet, Peers: w.network.Client(h.address)}
-	w.mu.Lock()
+	edges := entry.Edges{Store: cl.platform, Hosts: cl.platform, Leafs: cl.fleet, Peers: cl.network.Client(h.address)}
+	cl.mu.Lock()
 	h.starts++
-	h.dead, h.left, h.seen = false, false, 0
+	h.dead, h.leaving, h.lastRevision = false, false, 0
 	h.daemon = entry.New(hostSettings(i), edges, h.starts, zerolog.Nop())
 	h.kill = cancel
-	w.mu.Unlock()
-	w.network.Serve(h.address, h.daemon)
+	cl.mu.Unlock()
+	cl.network.Serve(h.address, h.daemon)
 	h.daemon.Start(ctx)
 }
 
-// killHost ends a host at once: what it did not send is never sent.
-func (w *world) killHost(i int) {
-	h := w.daemons[i]
-	w.mu.Lock()
+// killHost ends a host at once; what it has not sent is lost.
+func (cl *cluster) killHost(i int) {
+	h := cl.daemons[i]
+	cl.mu.Lock()
 	h.dead = true
-	w.mu.Unlock()
-	w.network.Remove(h.address)
-	w.thaw(i)
+	cl.mu.Unlock()
+	cl.network.Remove(h.address)
+	cl.thaw(i)
 	h.kill()
 }
 
-func (w *world) freeze(i int) {
-	w.daemons[i].frozen = true
-	w.network.Freeze(w.daemons[i].address)
+func (cl *cluster) freeze(i int) {
+	cl.daemons[i].frozen = true
+	cl.network.Freeze(cl.daemons[i].address)
 }
 
-func (w *world) thaw(i int) {
-	w.daemons[i].frozen = false
-	w.network.Thaw(w.daemons[i].address)
+func (cl *cluster) thaw(i int) {
+	cl.daemons[i].frozen = false
+	cl.network.Thaw(cl.daemons[i].address)
 }
 
-// usable reports whether the balancer would send to a host.
-func (w *world) usable(i int) bool {
-	h := w.daemons[i]
-	return !h.dead && !h.left
+// usable reports whether the balancer sends requests to a host.
+func (cl *cluster) usable(i int) bool {
+	h := cl.daemons[i]
+	return !h.dead && !h.leaving
 }
 
-// apply changes the configuration through a host.
-func (w *world) apply(i int, expect uint64, id string, c *configpb.Config, timeout time.Duration) (*operatorpb.ApplyReply, error) {
+// apply applies a configuration through a host.
+func (cl *cluster) apply(i int, expect uint64, id string, c *configpb.Config, timeout time.Duration) (*operatorpb.ApplyReply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return w.daemons[i].daemon.Operators().Apply(ctx, &operatorpb.ApplyRequest{ExpectRevision: expect, ChangeId: id, Config: c})
+	return cl.daemons[i].daemon.Operators().Apply(ctx, &operatorpb.ApplyRequest{ExpectRevision: expect, ChangeId: id, Config: c})
 }
 
-// setUp brings a world to where its first configuration is in force.
-func (w *world) setUp(t *testing.T) {
+// setUp applies the first configuration and waits until all hosts are ready.
+func (cl *cluster) setUp(t *testing.T) {
 	time.Sleep(2 * time.Second)
-	reply, err := w.apply(0, 0, "first", testConfig(1, shards), time.Second)
+	reply, err := cl.apply(0, 0, "first", testConfig(1, numShards), time.Second)
 	if err != nil || reply.GetOutcome() != operatorpb.ApplyOutcome_ACCEPTED {
 		t.Fatalf("first configuration: %v %v", reply, err)
 	}
 	time.Sleep(2 * time.Second)
-	for i, h := range w.daemons {
+	for i, h := range cl.daemons {
 		if !h.daemon.Ready() {
 			t.Fatalf("host %d is not ready", i)
 		}
 	}
 }
 
-// send sends a request to a host and records the reply. The reply of a dead or
-// frozen host never reaches the desk.
-func (w *world) send(i int, ask *callerpb.AskRequest, timeout time.Duration) *callerpb.AskReply {
-	h := w.daemons[i]
-	w.network.Await(h.address)
-	w.mu.Lock()
+// send sends a request to a host and records the reply. It returns nil if the host died before the
+// reply reached the caller; the reply of a frozen host is delayed.
+func (cl *cluster) send(i int, ask *callerpb.AskRequest, timeout time.Duration) *callerpb.AskReply {
+	h := cl.daemons[i]
+	cl.network.Await(h.address)
+	cl.mu.Lock()
 	dead, starts := h.dead, h.starts
 	daemon := h.daemon
-	w.mu.Unlock()
+	cl.mu.Unlock()
 	if dead {
 		return nil
 	}
@@ -248,127 +247,127 @@
 	defer cancel()
 	reply, err := daemon.Ask(ctx, ask)
 	if err != nil {
-		w.problem("%s: %v", ask.GetRequestId(), err)
+		cl.violationf("%s: %v", ask.GetRequestId(), err)
 		return nil
 	}
-	w.network.Await(h.address)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	cl.network.Await(h.address)
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	if h.dead || h.starts != starts {
 		return nil
 	}
-	w.told = append(w.told, told{ask: ask, reply: reply, at: time.Now()})
+	cl.exchanges = append(cl.exchanges, exchange{ask: ask, reply: reply, at: time.Now()})
 	return reply
 }
 
-// tearDown ends the world and lets everything that is on its way arrive.
-func (w *world) tearDown() {
-	for i := range w.daemons {
-		w.thaw(i)
+// tearDown waits until all messages in transit have arrived and ends the hosts.
+func (cl *cluster) tearDown() {
+	for i := range cl.daemons {
+		cl.thaw(i)
 	}
-	w.sends.Wait()
-	w.platform.SetOutage(false)
-	time.Sleep(lastArrival)
-	for _, h := range w.daemons {
+	cl.sends.Wait()
+	cl.platform.SetOutage(false)
+	time.Sleep(deliveryBound)
+	for _, h := range cl.daemons {
 		h.kill()
 	}
-	time.Sleep(lastArrival)
+	time.Sleep(deliveryBound)
 }
 
-// inWorld runs fn in a world of its own in fake time and returns the problems.
-func inWorld(t *testing.T, fn func(t *testing.T, w *world)) []string {
-	var problems []string
+// withCluster runs fn on a new cluster in fake time and returns the violations.
+func withCluster(t *testing.T, fn func(t *testing.T, cl *cluster)) []string {
+	var violations []string
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.setUp(t)
-		fn(t, w)
-		w.tearDown()
-		w.check()
-		problems = w.problems
+		cl := newCluster()
+		cl.setUp(t)
+		fn(t, cl)
+		cl.tearDown()
+		cl.check()
+		violations = cl.violations
 	})
-	return problems
+	return violations
 }
 
-// check holds the record against what must always hold.
-func (w *world) check() {
+// check checks the recorded exchanges and executions.
+func (cl *cluster) check() {
 	executed := map[string]int{}
-	for _, e := range w.fleet.Executions() {
+	for _, e := range cl.fleet.Executions() {
 		executed[e.Request]++
 	}
 	once := map[string]bool{}
-	for _, t := range w.told {
-		w.checkTold(t, executed)
-		if t.ask.GetNotRepeatable() {
-			once[t.ask.GetRequestId()] = true
+	for _, ex := range cl.exchanges {
+		cl.checkExchange(ex, executed)
+		if ex.ask.GetNotRepeatable() {
+			once[ex.ask.GetRequestId()] = true
 		}
 	}
 	for request, n := range executed {
 		if (once[request] || strings.HasPrefix(request, "once-")) && n > 1 {
-			w.problem("at most once: %s ran %d times", request, n)
+			cl.violationf("at most once: %s ran %d times", request, n)
 		}
 	}
 }
 
-func (w *world) checkTold(t told, executed map[string]int) {
-	id := t.ask.GetRequestId()
-	if t.reply.GetRequestId() != id {
-		w.problem("correlation: reply to %s came for %s", t.reply.GetRequestId(), id)
+func (cl *cluster) checkExchange(e exchange, executed map[string]int) {
+	id := e.ask.GetRequestId()
+	if e.reply.GetRequestId() != id {
+		cl.violationf("correlation: reply to %s came for %s", e.reply.GetRequestId(), id)
 	}
-	switch t.reply.GetOutcome() {
+	switch e.reply.GetOutcome() {
 	case callerpb.Outcome_NOT_RUN:
-		if executed[id] > 0 && !w.cameBack[id] && t.reply.GetReason() != callerpb.Reason_TICKET_REQUIRED {
-			w.problem("not run: %s (%s) ran %d times", id, t.reply.GetReason(), executed[id])
+		if executed[id] > 0 && !cl.resent[id] && e.reply.GetReason() != callerpb.Reason_TICKET_REQUIRED {
+			cl.violationf("not run: %s (%s) ran %d times", id, e.reply.GetReason(), executed[id])
 		}
 	case callerpb.Outcome_ANSWERED:
-		w.checkAnswer(t)
+		cl.checkAnswer(e)
 	case callerpb.Outcome_UNKNOWN:
 	default:
-		w.problem("%s got no outcome", id)
+		cl.violationf("%s got no outcome", id)
 	}
 }
 
-// checkAnswer checks snapshot, coverage and correlation of an answer.
-func (w *world) checkAnswer(t told) {
-	id, snapshot := t.ask.GetRequestId(), t.reply.GetSnapshot()
-	contributed := t.reply.GetCoverage().GetContributed()
-	if len(contributed) == 0 || len(contributed) != len(t.reply.GetRows()) {
-		w.problem("coverage: %s names %d shards and has %d rows", id, len(contributed), len(t.reply.GetRows()))
+// checkAnswer checks the snapshot, coverage and correlation of an answer.
+func (cl *cluster) checkAnswer(e exchange) {
+	id, snapshot := e.ask.GetRequestId(), e.reply.GetSnapshot()
+	contributed := e.reply.GetCoverage().GetContributed()
+	if len(contributed) == 0 || len(contributed) != len(e.reply.GetRows()) {
+		cl.violationf("coverage: %s names %d shards and has %d rows", id, len(contributed), len(e.reply.GetRows()))
 		return
 	}
 	seen := map[string]bool{}
 	for i, shard := range contributed {
-		row := string(t.reply.GetRows()[i])
+		row := string(e.reply.GetRows()[i])
 		fields := strings.Fields(row)
 		if fields[0] != id {
-			w.problem("correlation: %s got row %q", id, row)
+			cl.violationf("correlation: %s got row %q", id, row)
 		}
 		if fields[1] != shard || seen[shard] {
-			w.problem("coverage: %s names %s for row %q", id, shard, row)
+			cl.violationf("coverage: %s names %s for row %q", id, shard, row)
 		}
 		if fields[2] != fmt.Sprint(snapshot.GetEpoch()) || fields[3] != fmt.Sprint(snapshot.GetIndexVersion()) {
-			w.problem("snapshot: %s of %v holds row %q", id, snapshot, row)
+			cl.violationf("snapshot: %s of %v holds row %q", id, snapshot, row)
 		}
 		seen[shard] = true
 	}
-	for _, m := range t.reply.GetCoverage().GetMissing() {
+	for _, m := range e.reply.GetCoverage().GetMissing() {
 		if seen[m.GetShard()] {
-			w.problem("coverage: %s names %s as contributed and missing", id, m.GetShard())
+			cl.violationf("coverage: %s names %s as contributed and missing", id, m.GetShard())
 		}
 		seen[m.GetShard()] = true
 	}
-	if t.ask.GetService() == "search" && !strings.HasPrefix(contributed[0], fmt.Sprintf("e%d-", snapshot.GetEpoch())) {
-		w.problem("snapshot: %s names epoch %d and shard %s", id, snapshot.GetEpoch(), contributed[0])
+	if e.ask.GetService() == "search" && !strings.HasPrefix(contributed[0], fmt.Sprintf("e%d-", snapshot.GetEpoch())) {
+		cl.violationf("snapshot: %s names epoch %d and shard %s", id, snapshot.GetEpoch(), contributed[0])
 	}
 }
 
-// report fails the property with the problems of a run.
-func report(rt *rapid.T, problems []string) {
-	if len(problems) > 0 {
-		rt.Fatalf("%d problems, the first: %s", len(problems), strings.Join(problems[:min(len(problems), 5)], "\n"))
+// failOnViolations fails the property if a run had violations, and lists the first five.
+func failOnViolations(rt *rapid.T, violations []string) {
+	if len(violations) > 0 {
+		rt.Fatalf("%d violations, the first: %s", len(violations), strings.Join(violations[:min(len(violations), 5)], "\n"))
 	}
 }
 
-// leafHost enters a leaf into the host list.
+// leafHost returns the entry of a leaf in the host list.
 func leafHost(address string, state platformpb.HostState, incarnation uint64) *platformpb.Host {
 	return &platformpb.Host{Name: "leaf-" + address, Address: address, Kind: platformpb.HostKind_LEAF, State: state, Incarnation: incarnation}
 }
