--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -129,7 +129,7 @@
 TestBarFollowingRemovalOfAnotherIsPublished@quarantine/standing.go@s/\n\tb.updateRelated\([a-z.]+\)//g@a bar that starts as another ends is not announced
 TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.heardNews\(\)/q.trial.news = nil/@queries in flight are not notified of a bar
 TestTrialsLeaveShardsEnoughToServeOthers@internal/gateway/trial.go@s/running := q.running\(\)/running := t.shard >= 0 && q.state.Running(t.shard) > 0/@a trial starts while other calls are running
-TestQueryOfWhichNothingCameSendsNoCopies@internal/gateway/attempt.go@s/need.Hedge && q.holdsHedges\(now\)/false/@hedges are sent before any shard has answered
+TestQueryWithoutPartsIsNotHedgedEarly@internal/gateway/attempt.go@s/need.Hedge && q.holdsHedges\(now\)/false/@hedges are sent before any shard has answered
 TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.reportEnds\(now\) \/\/ A repeat.*//@peers are notified only after the trial
 TestQueryThatLacksServersIsRefusedAtOnce@internal/gateway/serve.go@s/q.lacksServers\(time.Now\(\)\)/false/@queries wait for servers that no longer exist
 TestHostsWithoutTheStoreDoNotEachFindOut@internal/control/records.go@s/if c.storeLost\(\) \{\n\t\tc.peerRecords.put/if false {\n\t\tc.peerRecords.put/@peers are not notified while the store is unavailable
