--- a/internal/home/deaths_test.go
+++ b/internal/home/deaths_test.go
@@ -19,76 +19,77 @@
 	"github.com/mallowgap/mallowgap/internal/leaf/leaffake"
 )
 
-// mortalFleet has leaves that end with what they run when it is "poison", and are back after
-// three seconds as another incarnation.
-type mortalFleet struct {
+// crashingFleet is a fleet whose leaves crash while running a query that ends in
+// "poison" and are back as another incarnation after three seconds.
+type crashingFleet struct {
 	*leaffake.Fleet
-	mu     sync.Mutex
-	died   map[string]chan struct{}
-	deaths int
-	// works is for how long a leaf runs a query that ends it, by its content.
-	works map[string]time.Duration
+	mu sync.Mutex
+	// crashed holds, by address, a channel that is closed when the leaf crashes.
+	crashed map[string]chan struct{}
+	crashes int
+	// runTimes is how long a leaf runs a poison query before it crashes, by query.
+	runTimes map[string]time.Duration
 }
 
-// slow sets for how long leaves run a query that ends them.
-func (f *mortalFleet) slow(query string, work time.Duration) {
+// setRunTime sets how long leaves run a poison query before they crash.
+func (f *crashingFleet) setRunTime(query string, runTime time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.works[query] = work
+	f.runTimes[query] = runTime
 }
 
-func (f *mortalFleet) work(query string) time.Duration {
+func (f *crashingFleet) runTime(query string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(f.works[query], serviceTime)
+	return max(f.runTimes[query], serviceTime)
 }
 
-func (f *mortalFleet) life(address string) chan struct{} {
+func (f *crashingFleet) crashSignal(address string) chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.died[address] == nil {
-		f.died[address] = make(chan struct{})
+	if f.crashed[address] == nil {
+		f.crashed[address] = make(chan struct{})
 	}
-	return f.died[address]
+	return f.crashed[address]
 }
 
-func (f *mortalFleet) isAway(address string) bool {
+func (f *crashingFleet) isDown(address string) bool {
 	select {
-	case <-f.life(address):
+	case <-f.crashSignal(address):
 		return true
 	default:
 		return false
 	}
 }
 
-func (f *mortalFleet) end(address string) {
-	died := f.life(address)
+func (f *crashingFleet) crash(address string) {
+	crashed := f.crashSignal(address)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	select {
-	case <-died:
+	case <-crashed:
 		return
 	default:
 	}
-	close(died)
-	f.deaths++
+	close(crashed)
+	f.crashes++
 	f.Restart(address)
 	time.AfterFunc(3*time.Second, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.died[address] = nil
+		f.crashed[address] = nil
 	})
 }
 
 // Execute implements leaf.Client.
-func (f *mortalFleet) Execute(ctx context.Context, address string, r *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
-	if f.isAway(address) {
+func (f *crashingFleet) Execute(ctx context.Context, address string, r *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
+	if f.isDown(address) {
 		return nil, &leaf.NotSentError{Address: address, Err: errors.New("connection refused")}
 	}
 	if query := string(r.GetQuery()); strings.HasSuffix(query, "poison") {
 		select {
-		case <-time.After(f.work(query)):
-			f.end(address)
+		case <-time.After(f.runTime(query)):
+			f.crash(address)
 			return nil, errors.New("connection reset")
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -100,44 +101,45 @@
 		reply *leafpb.ExecuteReply
 		err   error
 	}
-	back := make(chan outcome, 1)
+	done := make(chan outcome, 1)
 	go func() {
 		reply, err := f.Fleet.Execute(ctx, address, r)
-		back <- outcome{reply, err}
+		done <- outcome{reply, err}
 	}()
 	select {
-	case o := <-back:
+	case o := <-done:
 		return o.reply, o.err
-	case <-f.life(address):
+	case <-f.crashSignal(address):
 		return nil, errors.New("connection reset")
 	}
 }
 
 // Describe implements leaf.Client.
-func (f *mortalFleet) Describe(ctx context.Context, address string) (*leafpb.DescribeReply, error) {
-	if f.isAway(address) {
+func (f *crashingFleet) Describe(ctx context.Context, address string) (*leafpb.DescribeReply, error) {
+	if f.isDown(address) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return f.Fleet.Describe(ctx, address)
 }
 
-// mortalService is a service of such leaves that has been there for a second.
-func mortalService() (*home.Service, *mortalFleet) {
-	fleet := &mortalFleet{Fleet: leaffake.New(leafSlots, serviceTime, time.Millisecond), died: map[string]chan struct{}{}, works: map[string]time.Duration{}}
+// newCrashingService returns a service on a crashingFleet that has been running for a
+// second.
+func newCrashingService() (*home.Service, *crashingFleet) {
+	fleet := &crashingFleet{Fleet: leaffake.New(leafSlots, serviceTime, time.Millisecond), crashed: map[string]chan struct{}{}, runTimes: map[string]time.Duration{}}
 	s := home.NewService("search", fleet, home.Options{
 		Queue: admission.Settings{Length: 64, FloorShare: 0.02}, Hedging: true, HedgeQuantile: 97, ExtraShare: 0.05, Prefix: "home-0/1",
 	})
-	s.Configure(spec(), home.Share{Homes: 1}, never)
+	s.Configure(spec(), home.Share{Homes: 1}, noneLeaving)
 	time.Sleep(time.Second)
 	return s, fleet
 }
 
-// A query that ends each leaf which runs it comes again and again to the home of its service,
-// under new identifiers: as on the gateway, it took the service away from all other desks.
-func TestQueryThatEndsLeavesIsTurnedAway(t *testing.T) {
-	inBubble(t, func(t *testing.T) {
-		s, fleet := mortalService()
+// A query that crashes every leaf it reaches must be barred, though it comes with new
+// request identifiers, and other queries must be answered meanwhile.
+func TestCrashingQueryIsBarred(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		s, fleet := newCrashingService()
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		ask := func(id, query string) *callerpb.AskReply {
@@ -145,58 +147,58 @@
 			defer cancel()
 			return s.Serve(ctx, &callerpb.AskRequest{Desk: "d", Service: "search", RequestId: id, Query: []byte(query)}, 0)
 		}
-		good, late, last := 0, 0, (*callerpb.AskReply)(nil)
+		answered, lateCrashes, lastReply := 0, 0, (*callerpb.AskReply)(nil)
 		for i := range 200 {
 			wg.Go(func() {
 				r := ask(fmt.Sprint("r", i), "ordinary")
 				mu.Lock()
 				defer mu.Unlock()
 				if r.GetOutcome() == callerpb.Outcome_ANSWERED {
-					good++
+					answered++
 				}
 			})
 			if i%4 == 0 {
 				wg.Go(func() {
-					before := fleet.count()
+					before := fleet.crashCount()
 					r := ask(fmt.Sprint("p", i), "poison")
 					mu.Lock()
 					defer mu.Unlock()
-					if last = r; i > 40 && fleet.count() > before {
-						late++
+					if lastReply = r; i > 40 && fleet.crashCount() > before {
+						lateCrashes++
 					}
 				})
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		wg.Wait()
-		t.Logf("%d leaves ended, %d of 200 ordinary queries answered, %d repeats reached leaves late", fleet.count(), good, late)
-		assert.Check(t, late <= 3)
-		assert.Check(t, good >= 190)
-		assert.Check(t, fleet.count() <= 16)
-		assert.Equal(t, last.GetOutcome(), callerpb.Outcome_NOT_RUN, "%v", last)
-		assert.Equal(t, last.GetReason(), callerpb.Reason_BARRED, "%v", last)
+		t.Logf("%d leaves crashed, %d of 200 ordinary queries answered, %d late repeats crashed leaves", fleet.crashCount(), answered, lateCrashes)
+		assert.Check(t, lateCrashes <= 3)
+		assert.Check(t, answered >= 190)
+		assert.Check(t, fleet.crashCount() <= 16)
+		assert.Equal(t, lastReply.GetOutcome(), callerpb.Outcome_NOT_RUN, "%v", lastReply)
+		assert.Equal(t, lastReply.GetReason(), callerpb.Reason_BARRED, "%v", lastReply)
 	})
 }
 
-func (f *mortalFleet) count() int {
+func (f *crashingFleet) crashCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.deaths
+	return f.crashes
 }
 
-// Leaves that end by themselves bar no query that many desks repeat.
-func TestLeavesThatEndByThemselvesBarNobody(t *testing.T) {
-	inBubble(t, func(t *testing.T) {
-		s, fleet := mortalService()
+// Leaf crashes with another cause must not bar a query that is sent all the time.
+func TestUnrelatedCrashesBarNoQuery(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		s, fleet := newCrashingService()
 		var mu sync.Mutex
 		var wg sync.WaitGroup
-		barred, good := 0, 0
+		barred, answered := 0, 0
 		for i := range 300 {
-			if i%80 == 40 { // All leaves of a domain, then all leaves.
+			if i%80 == 40 { // First all leaves of one failure domain, then all leaves.
 				for shard := range shards {
-					fleet.end(address(shard, 0))
+					fleet.crash(address(shard, 0))
 					if i > 100 {
-						fleet.end(address(shard, 1))
+						fleet.crash(address(shard, 1))
 					}
 				}
 			}
@@ -210,26 +212,24 @@
 					barred++
 				}
 				if r.GetOutcome() == callerpb.Outcome_ANSWERED {
-					good++
+					answered++
 				}
 			})
 			time.Sleep(100 * time.Millisecond)
 		}
 		wg.Wait()
-		t.Logf("%d of 300 answered, %d leaves ended", good, fleet.count())
+		t.Logf("%d of 300 answered, %d leaves crashed", answered, fleet.crashCount())
 		assert.Equal(t, barred, 0)
-		assert.Check(t, good >= 180)
+		assert.Check(t, answered >= 180)
 	})
 }
 
-// Two queries with the same content are under way when the leaves of one end and it is barred: the
-// calls of the other end too, as they would take their leaves with them. On the code without the
-// mend the second one ran on until its leaves had answered or its time was up: what was barred was
-// looked up where a query begins, and by the query that had seen the last leaf end.
+// A running query must end as soon as its content is barred because of another query,
+// since its own attempts would crash more leaves.
 func TestQueryUnderWayEndsWhenItsContentIsBarred(t *testing.T) {
-	inBubble(t, func(t *testing.T) {
-		s, fleet := mortalService()
-		fleet.slow("slow poison", 500*time.Millisecond)
+	runInBubble(t, func(t *testing.T) {
+		s, fleet := newCrashingService()
+		fleet.setRunTime("slow poison", 500*time.Millisecond)
 		ask := func(id string) *callerpb.AskReply {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			defer cancel()
@@ -239,7 +239,7 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { first = ask("r1") })
 		time.Sleep(100 * time.Millisecond)
-		fleet.slow("slow poison", 0)
+		fleet.setRunTime("slow poison", 0)
 		var barredAt time.Time
 		for i := 0; barredAt.IsZero(); i++ {
 			if ask(fmt.Sprint("again", i)).GetReason() == callerpb.Reason_BARRED {
@@ -250,6 +250,6 @@
 		began := time.Now()
 		wg.Wait()
 		assert.Equal(t, first.GetReason(), callerpb.Reason_BARRED, "%v", first)
-		assert.Equal(t, time.Since(began), time.Duration(0), "it ran on")
+		assert.Equal(t, time.Since(began), time.Duration(0), "the query kept running after it was barred")
 	})
 }
--- a/internal/home/dispatch.go
+++ b/internal/home/dispatch.go
@@ -10,59 +10,62 @@
 	"github.com/mallowgap/mallowgap/replica"
 )
 
-// attempt is one request to one leaf.
+// attempt is one request sent to one leaf.
 type attempt struct {
-	id      string
-	shard   int
+	id    string
+	shard int
+	// leaf is the index of the leaf among the replicas of the shard.
 	leaf    int
 	address string
 	kind    obs.Attempt
 	start   time.Time
 	cancel  context.CancelFunc
-	// outlives lets a probe go on when another attempt won.
-	outlives bool
-	// generation is the number of restarts of the query before the attempt.
+	// outlivesQuery keeps the attempt running after the query has its part, as for
+	// probes.
+	outlivesQuery bool
+	// generation is the value of query.restarts when the attempt was sent.
 	generation int
-	// onTrial tells that the leaf is sent the query alone, after others had ended.
+	// onTrial is set if the attempt is a quarantine trial: the only one of a query
+	// under which leaves crashed.
 	onTrial bool
 }
 
-// event tells a query what became of an attempt.
-type event struct {
+// attemptResult is the end of an attempt, as passed to its query.
+type attemptResult struct {
 	attempt *attempt
 	reply   *leafpb.ExecuteReply
 	err     error
-	// ended tells that the leaf ended with the attempt.
-	ended bool
+	// leafCrashed is set if the leaf's process ended during the attempt.
+	leafCrashed bool
 }
 
-// dispatchAll sends whatever waits and has a slot, on all shards of all plans.
+// dispatchAll runs dispatch for every shard of every topology.
 func (s *Service) dispatchAll() {
 	now := time.Now()
-	for _, p := range s.plans() {
-		for i := range p.shards {
-			s.dispatch(p, i, now)
+	for _, t := range s.topologies() {
+		for i := range t.shards {
+			s.dispatch(t, i, now)
 		}
 	}
 }
 
-// dispatch sends the requests waiting for one shard while slots are free.
-func (s *Service) dispatch(p *plan, shard int, now time.Time) {
-	sh := p.shards[shard]
+// dispatch sends the attempts queued for one shard while slots are free.
+func (s *Service) dispatch(t *topology, shard int, now time.Time) {
+	sh := t.shards[shard]
 	for i := 0; i < len(sh.waiting); {
 		w := sh.waiting[i]
 		if w.query.done || !w.query.gather.Open(shard) {
 			sh.waiting = append(sh.waiting[:i], sh.waiting[i+1:]...)
 			continue
 		}
-		if !sh.set.Reachable(w.exclude) {
+		if !sh.replicas.Reachable(w.excluded) {
 			sh.waiting = append(sh.waiting[:i], sh.waiting[i+1:]...)
-			w.query.unreachable(shard)
+			w.query.closeUnreachable(shard)
 			continue
 		}
-		chosen := sh.set.Pick(now, len(sh.waiting)-i-1, w.exclude)
+		chosen := sh.replicas.Pick(now, len(sh.waiting)-i-1, w.excluded)
 		if chosen == replica.None {
-			w.query.look(now.Add(dispatchTick))
+			w.query.wakeBy(now.Add(redispatchInterval))
 			i++
 			continue
 		}
@@ -72,23 +75,23 @@
 	}
 }
 
-// probe sends a copy of a repeatable request to a replica that is avoided, to
-// learn whether it has recovered. The query does not wait for it.
+// probe sends a copy of a repeatable request to a replica that is being avoided, to
+// learn whether it has recovered. The query does not wait for the copy.
 func (s *Service) probe(q *query, shard, chosen int, now time.Time) {
-	if q.once || q.trial.OnTrial() {
+	if q.notRepeatable || q.quarantine.OnTrial() {
 		return
 	}
-	set := q.plan.shards[shard].set
-	exclude := q.exclude(shard) | 1<<chosen
-	if i := set.Probe(now, exclude, replica.ProbeEvery); i != replica.None {
+	replicas := q.topology.shards[shard].replicas
+	excluded := q.excluded(shard) | 1<<chosen
+	if i := replicas.Probe(now, excluded, replica.ProbeEvery); i != replica.None {
 		s.send(q, shard, i, obs.Probe, now)
 	}
 }
 
-// send takes a slot and starts an attempt.
+// send acquires a slot and starts an attempt; without a free slot it does nothing.
 func (s *Service) send(q *query, shard, chosen int, kind obs.Attempt, now time.Time) {
-	set := q.plan.shards[shard].set
-	if !set.Acquire(chosen, now) {
+	replicas := q.topology.shards[shard].replicas
+	if !replicas.Acquire(chosen, now) {
 		return
 	}
 	parent := q.ctx
@@ -97,99 +100,102 @@
 	}
 	ctx, cancel := context.WithDeadline(parent, q.deadline)
 	a := &attempt{
-		id:         s.attemptID(),
-		shard:      shard,
-		leaf:       chosen,
-		address:    set.Leaves[chosen].Address,
-		kind:       kind,
-		start:      now,
-		cancel:     cancel,
-		outlives:   kind == obs.Probe,
-		generation: q.restarts,
-		onTrial:    q.trial.shard == shard,
-	}
-	q.began(a)
+		id:            s.newAttemptID(),
+		shard:         shard,
+		leaf:          chosen,
+		address:       replicas.Leaves[chosen].Address,
+		kind:          kind,
+		start:         now,
+		cancel:        cancel,
+		outlivesQuery: kind == obs.Probe,
+		generation:    q.restarts,
+		onTrial:       q.quarantine.trialShard == shard,
+	}
+	q.recordStart(a)
 	obs.CountAttempt(kind)
-	go s.run(ctx, q, a, q.request(a))
+	go s.runAttempt(ctx, q, a, q.request(a))
 }
 
-// run makes the call of an attempt, outside of the lock, and reports its end.
-func (s *Service) run(ctx context.Context, q *query, a *attempt, request *leafpb.ExecuteRequest) {
+// runAttempt makes the call of an attempt without holding the lock and passes the
+// result to the query.
+func (s *Service) runAttempt(ctx context.Context, q *query, a *attempt, request *leafpb.ExecuteRequest) {
 	defer a.cancel()
 	reply, err := s.client.Execute(ctx, a.address, request)
 	if err == nil && reply.GetAttemptId() != a.id {
 		err = errWrongAttempt
 	}
-	cut := ctx.Err() != nil && err != nil
-	ended := err != nil && !cut && !leaf.NotSent(err) && s.hasEnded(ctx, a.address)
+	cutShort := ctx.Err() != nil && err != nil
+	leafCrashed := err != nil && !cutShort && !leaf.NotSent(err) && s.hasCrashed(ctx, a.address)
 	s.mu.Lock()
-	report := s.ended(q.plan, a, reply, err, cut)
+	notify := s.finishAttempt(q.topology, a, reply, err, cutShort)
 	s.mu.Unlock()
-	report()
+	notify()
 	select {
-	case q.events <- event{attempt: a, reply: reply, err: err, ended: ended}:
-	case <-q.gone:
+	case q.results <- attemptResult{attempt: a, reply: reply, err: err, leafCrashed: leafCrashed}:
+	case <-q.closed:
 	}
 }
 
-// ended gives the slot back, takes in what the attempt showed about its leaf
-// and sends what waits for the slot.
-func (s *Service) ended(p *plan, a *attempt, reply *leafpb.ExecuteReply, err error, cut bool) func() {
+// finishAttempt releases the slot, records what the attempt showed about its leaf and
+// dispatches the attempts queued for it. The caller must call the returned function
+// after releasing the lock.
+func (s *Service) finishAttempt(t *topology, a *attempt, reply *leafpb.ExecuteReply, err error, cutShort bool) func() {
 	now := time.Now()
-	sh := p.shards[a.shard]
-	set := sh.set
-	l := set.Leaves[a.leaf]
+	sh := t.shards[a.shard]
+	replicas := sh.replicas
+	l := replicas.Leaves[a.leaf]
 	l.Slots.Release()
-	report := s.observe(a.address, reply.GetStatus(), now)
+	notify := s.observeStatus(a.address, reply.GetStatus(), now)
 	switch {
-	case cut:
-		set.CutShort(a.leaf, now.Sub(a.start), now)
+	case cutShort:
+		replicas.CutShort(a.leaf, now.Sub(a.start), now)
 	case err != nil:
-		set.Failed(a.leaf, now)
+		replicas.Failed(a.leaf, now)
 	case reply.GetRefusal() != nil:
-		s.refused(l, reply.GetRefusal().GetKind(), now)
+		s.recordRefusal(l, reply.GetRefusal().GetKind(), now)
 	default:
-		set.Answered(a.leaf, now.Sub(a.start), now)
-		sh.hedge.Observe(now.Sub(a.start))
+		replicas.Answered(a.leaf, now.Sub(a.start), now)
+		sh.hedgeDelay.Observe(now.Sub(a.start))
 	}
-	for _, other := range s.plans() {
-		for _, at := range other.byLeaf[a.address] {
-			s.dispatch(other, at.shard, now)
+	for _, other := range s.topologies() {
+		for _, ref := range other.byAddress[a.address] {
+			s.dispatch(other, ref.shard, now)
 		}
 	}
-	return report
+	return notify
 }
 
-func (s *Service) refused(l *replica.Leaf, kind leafpb.Refusal_Kind, now time.Time) {
+// recordRefusal counts a refusal and, if the leaf was full, limits its slots for a
+// while.
+func (s *Service) recordRefusal(l *replica.Leaf, kind leafpb.Refusal_Kind, now time.Time) {
 	obs.CountRefusal(kind.String())
 	if kind == leafpb.Refusal_SHED || kind == leafpb.Refusal_COLD {
 		l.Slots.Shed(now)
 	}
 }
 
-// hedge sends a second attempt for a shard whose first is late, if the budget
-// permits it and no request of the same or a higher class waits for the shard.
-// Without a free slot the attempt waits for one by its class. hedge reports
-// whether it is worth looking again soon.
+// hedge sends a second attempt for a shard whose first is late, if the budget permits
+// it and no request of the same or a higher class is queued for the shard. Without a
+// free slot the attempt is queued. hedge reports whether to try again soon.
 func (s *Service) hedge(q *query, shard int, now time.Time) bool {
-	if q.trial.OnTrial() && q.trial.shard != shard {
+	if q.quarantine.OnTrial() && q.quarantine.trialShard != shard {
 		return true
 	}
-	sh := q.plan.shards[shard]
-	exclude := q.exclude(shard) | q.runningMask(shard) | sh.set.AvoidedMask(now)
-	if q.gather.Running(shard) != 1 || !sh.set.Reachable(exclude) {
+	sh := q.topology.shards[shard]
+	excluded := q.excluded(shard) | q.runningReplicas(shard) | sh.replicas.AvoidedMask(now)
+	if q.gather.Running(shard) != 1 || !sh.replicas.Reachable(excluded) {
 		return false
 	}
-	rank := s.waitRank(q.rank)
+	rank := s.slotRank(q.rank)
 	if len(sh.waiting) > 0 && sh.waiting[0].rank <= rank {
 		return true
 	}
-	chosen := sh.set.Pick(now, 0, exclude)
-	if !s.extra(obs.Hedge, q.rank) {
+	chosen := sh.replicas.Pick(now, 0, excluded)
+	if !s.takeExtraAttempt(obs.Hedge, q.rank) {
 		return false
 	}
 	if chosen == replica.None {
-		sh.enqueue(&waiter{query: q, rank: rank, order: q.order, exclude: exclude, kind: obs.Hedge})
+		sh.enqueue(&slotWaiter{query: q, rank: rank, sequence: q.sequence, excluded: excluded, kind: obs.Hedge})
 		return false
 	}
 	s.send(q, shard, chosen, obs.Hedge, now)
--- a/internal/home/doc.go
+++ b/internal/home/doc.go
@@ -1,9 +1,9 @@
-// Package home carries the queries of one service at one of its homes: it
-// admits them, pins their snapshot, spreads them over the shards within the
-// slots of the leaves, and merges the parts.
+// Package home runs the queries of a service at its home, the entry host that
+// coordinates them: it admits each query, pins it to a snapshot, fans it out to
+// the shards within the slots of the leaves, and merges the parts.
 //
-// The decisions are made by the packages admission, snapshot, limit, replica,
-// retry and scatter; this package holds the lock around them, the goroutines
-// and the timers. All state of a service is guarded by one mutex, which is
-// never held during a call.
+// The packages admission, snapshot, limit, replica, retry, quarantine and
+// scatter make the decisions; this package adds the locking, the goroutines and
+// the timers. One mutex guards all state of a service. It is never held during
+// a call.
 package home
--- a/internal/home/plan.go
+++ b/internal/home/plan.go
@@ -15,55 +15,59 @@
 )
 
 const (
-	// hedgeFloor is the shortest hedge delay.
-	hedgeFloor = 2 * time.Millisecond
-	// lookahead is how many queries are admitted to a sharded service for each
-	// that the slots of its tightest shard can run, so that a fast shard has
-	// work while a slow one holds the query. Measured (docs/MEASUREMENTS.md):
-	// 2 gives 76% of the leaves' slots, 3 gives 87%, 5 gives 91%. The order of
-	// classes does not suffer, since requests wait for slots by class too.
-	lookahead = 5
+	// minHedgeDelay is the lower bound of the hedge delay.
+	minHedgeDelay = 2 * time.Millisecond
+	// admissionOvercommit multiplies the capacity of the shard with the fewest slots,
+	// so that other shards stay busy while a slow one holds the query. It does not
+	// weaken class order: attempts queue for slots by class too.
+	admissionOvercommit = 5
 )
 
-// Share is this host's part in a service: home number Index of Homes.
+// Share is this host's part of a service's slots: that of home number Index of Homes.
 type Share struct {
 	Homes, Index int
 }
 
-// plan is one shard map of a service with the state of its leaves. A query
-// keeps the plan it began with.
-type plan struct {
-	spec    *configpb.Service
+// topology is one shard map of a service with the state of its replicas. A query uses
+// the same topology from start to end.
+type topology struct {
+	spec *configpb.Service
+	// names holds the shard names, in the order of shards.
 	names   []string
 	shards  []*shard
 	tracker *snapshot.Tracker
-	// byLeaf finds the places of a leaf.
-	byLeaf map[string][]place
-	// active is the number of queries that keep the plan.
+	// byAddress lists the replicas that each leaf serves.
+	byAddress map[string][]replicaRef
+	// active is the number of queries that use the topology.
 	active int
 }
 
-type place struct {
+// replicaRef identifies a replica by its indexes in the topology.
+type replicaRef struct {
 	shard, leaf int
 }
 
+// shard holds the replicas of one shard and the attempts queued for their slots.
 type shard struct {
-	set     *replica.Set
-	hedge   *retry.HedgeDelay
-	waiting []*waiter
+	replicas   *replica.Set
+	hedgeDelay *retry.HedgeDelay
+	waiting    []*slotWaiter
 }
 
-// waiter is a query that waits for a slot of a shard.
-type waiter struct {
-	query   *query
-	rank    uint32
-	order   uint64
-	exclude uint64
-	kind    obs.Attempt
+// slotWaiter is an attempt that is queued for a slot of a shard.
+type slotWaiter struct {
+	query    *query
+	rank     uint32
+	sequence uint64
+	// excluded is the bit set of replicas that must not be used.
+	excluded uint64
+	kind     obs.Attempt
 }
 
-func newPlan(spec *configpb.Service, share Share, known map[string]*replica.Leaf, options Options, rng *rand.Rand) *plan {
-	p := &plan{spec: spec, byLeaf: map[string][]place{}}
+// newTopology builds the topology of spec. Leaves in known are reused; new ones are
+// added to it.
+func newTopology(spec *configpb.Service, share Share, known map[string]*replica.Leaf, options Options, rng *rand.Rand) *topology {
+	t := &topology{spec: spec, byAddress: map[string][]replicaRef{}}
 	counts := make([]int, 0, len(spec.GetShards()))
 	slots := int(min(spec.GetSlots(), spec.GetConnections()))
 	for i, s := range spec.GetShards() {
@@ -77,45 +81,46 @@
 			}
 			l.Slots.SetShare(shares[j])
 			leaves = append(leaves, l)
-			p.byLeaf[l.Address] = append(p.byLeaf[l.Address], place{shard: i, leaf: j})
+			t.byAddress[l.Address] = append(t.byAddress[l.Address], replicaRef{shard: i, leaf: j})
 		}
-		p.names = append(p.names, s.GetName())
-		p.shards = append(p.shards, &shard{
-			set:   replica.NewSet(leaves, options.Selection, rng),
-			hedge: retry.NewHedgeDelay(options.HedgeQuantile, hedgeFloor),
+		t.names = append(t.names, s.GetName())
+		t.shards = append(t.shards, &shard{
+			replicas:   replica.NewSet(leaves, options.Selection, rng),
+			hedgeDelay: retry.NewHedgeDelay(options.HedgeQuantile, minHedgeDelay),
 		})
 		counts = append(counts, len(leaves))
 	}
-	p.tracker = snapshot.NewTracker(counts)
-	return p
+	t.tracker = snapshot.NewTracker(counts)
+	return t
 }
 
-// capacity is the number of queries that the tightest shard can run at a time.
-// A shard without a usable leaf is reported as missing and holds nothing up.
-func (p *plan) capacity(now time.Time) int {
-	tightest := 0.0
-	for _, s := range p.shards {
-		slots := s.set.Capacity(now)
-		if slots > 0 && (tightest == 0 || slots < tightest) {
-			tightest = slots
+// capacity returns the number of queries to admit at a time, at least 1, from the shard
+// with the fewest usable slots. Shards without a usable replica are ignored, since
+// queries report them as missing.
+func (t *topology) capacity(now time.Time) int {
+	smallest := 0.0
+	for _, s := range t.shards {
+		slots := s.replicas.Capacity(now)
+		if slots > 0 && (smallest == 0 || slots < smallest) {
+			smallest = slots
 		}
 	}
-	if len(p.shards) > 1 {
-		tightest *= lookahead
+	if len(t.shards) > 1 {
+		smallest *= admissionOvercommit
 	}
-	return max(int(math.Round(tightest)), 1)
+	return max(int(math.Round(smallest)), 1)
 }
 
-// enqueue puts a waiter in its place: higher classes first, then by order.
-func (s *shard) enqueue(w *waiter) {
-	at, _ := slices.BinarySearchFunc(s.waiting, w, func(a, b *waiter) int {
+// enqueue inserts a waiter by rank, then by order of admission.
+func (s *shard) enqueue(w *slotWaiter) {
+	i, _ := slices.BinarySearchFunc(s.waiting, w, func(a, b *slotWaiter) int {
 		if a.rank != b.rank {
 			return int(a.rank) - int(b.rank)
 		}
-		if a.order < b.order {
+		if a.sequence < b.sequence {
 			return -1
 		}
 		return 1
 	})
-	s.waiting = slices.Insert(s.waiting, at, w)
+	s.waiting = slices.Insert(s.waiting, i, w)
 }
--- a/internal/home/query.go
+++ b/internal/home/query.go
@@ -12,122 +12,132 @@
 	"github.com/mallowgap/mallowgap/snapshot"
 )
 
-var errWrongAttempt = errors.New("the leaf replied to another attempt: check the backend server")
+var errWrongAttempt = errors.New("the leaf replied with the attempt_id of another attempt: check that the backend server returns the attempt_id of the request")
 
 const (
-	// replyMargin is the share of the time left that is kept for the way back
-	// to the caller.
-	replyMargin = 0.05
-	// longestMargin bounds it.
-	longestMargin = 5 * time.Millisecond
-	// dispatchTick is the interval at which a query with waiting shards looks
-	// again, for replicas that became worth using by the passing of time.
-	dispatchTick = 5 * time.Millisecond
-	// maxRestarts is how often a query may begin anew on another snapshot.
+	// replyMarginShare is the share (0 to 1) of the remaining time that is reserved for
+	// returning the reply to the caller.
+	replyMarginShare = 0.05
+	// maxReplyMargin bounds the time reserved by replyMarginShare.
+	maxReplyMargin = 5 * time.Millisecond
+	// redispatchInterval is how often a query with queued attempts retries dispatch,
+	// since ejections and waits expire without an event.
+	redispatchInterval = 5 * time.Millisecond
+	// maxRestarts bounds how often a query may start over on another snapshot.
 	maxRestarts = 1
 )
 
-// query is one admitted request. Its fields are guarded by the mutex of its
-// service, except those that never change.
+// query is one admitted request. The mutex of its service guards the fields that
+// change.
 type query struct {
-	service  *Service
-	ctx      context.Context
-	cancel   context.CancelFunc
-	ask      *callerpb.AskRequest
-	rank     uint32
-	once     bool
-	deadline time.Time
-	start    time.Time
-	events   chan event
-	gone     chan struct{}
-	// nudge wakes the query when a shard was closed for it.
-	nudge chan struct{}
+	service       *Service
+	ctx           context.Context
+	cancel        context.CancelFunc
+	req           *callerpb.AskRequest
+	rank          uint32
+	notRepeatable bool
+	deadline      time.Time
+	start         time.Time
+	results       chan attemptResult
+	// closed is closed when the query finishes, so that late results are dropped.
+	closed chan struct{}
+	// wakeup wakes the query after a shard was given up.
+	wakeup chan struct{}
 
-	plan    *plan
-	gather  *scatter.Gather
-	running []*attempt
-	// tried are the replicas of each shard not to be used again.
-	tried   []uint64
+	topology *topology
+	gather   *scatter.Gather
+	running  []*attempt
+	// tried holds, for each shard, the bit set of replicas not to be used again.
+	tried []uint64
+	// hedgeAt holds the time at which each shard's hedge is due; zero if none is.
 	hedgeAt []time.Time
-	// wantAt are the times at which shards whose replicas shed the request are
-	// asked again.
-	wantAt   []time.Time
-	nextLook time.Time
-	order    uint64
+	// retryAt holds the time of each shard's delayed retry after a leaf shed the
+	// request; zero if none is due.
+	retryAt []time.Time
+	// wakeAt is the earliest time at which the query must wake up; zero if there is
+	// none.
+	wakeAt time.Time
+	// sequence is the position of the query in the order of admission.
+	sequence uint64
+	// restarts is how often the query started over on another snapshot.
 	restarts int
-	// reached is the number of attempts that may have been executed.
-	reached int
-	done    bool
-	// trial is what the query does about leaves that end under it.
-	trial trial
+	// maybeExecuted is the number of attempts that a leaf may have executed.
+	maybeExecuted int
+	// done is set when the query finishes.
+	done       bool
+	quarantine quarantineState
 }
 
-// newQuery pins an admitted request to the plan in force.
-func (s *Service) newQuery(ctx context.Context, ask *callerpb.AskRequest, rank uint32, deadline time.Time, begin trial) *query {
+// newQuery returns a query on the current topology. s.mu must be held.
+func (s *Service) newQuery(ctx context.Context, req *callerpb.AskRequest, rank uint32, deadline time.Time, initial quarantineState) *query {
 	q := &query{
-		service:  s,
-		ask:      ask,
-		rank:     rank,
-		plan:     s.plan,
-		once:     ask.GetNotRepeatable(),
-		deadline: deadline,
-		start:    time.Now(),
-		gone:     make(chan struct{}),
-		nudge:    make(chan struct{}, 1),
-		trial:    begin,
+		service:       s,
+		req:           req,
+		rank:          rank,
+		topology:      s.topology,
+		notRepeatable: req.GetNotRepeatable(),
+		deadline:      deadline,
+		start:         time.Now(),
+		closed:        make(chan struct{}),
+		wakeup:        make(chan struct{}, 1),
+		quarantine:    initial,
 	}
 	q.ctx, q.cancel = context.WithCancel(ctx)
-	q.events = make(chan event, 2*len(q.plan.shards))
-	s.order++
-	q.order = s.order
-	q.plan.active++
+	q.results = make(chan attemptResult, 2*len(q.topology.shards))
+	s.sequence++
+	q.sequence = s.sequence
+	q.topology.active++
 	return q
 }
 
-// fanOut begins the gather on the snapshot that the most shards can serve.
+// fanOut starts an attempt for every shard, pinned to the snapshot that the most shards
+// can serve.
 func (q *query) fanOut() {
-	p, now := q.plan, time.Now()
-	pinned := scatter.Snapshot{Epoch: p.spec.GetEpoch(), Version: p.tracker.Choose().Version}
+	t, now := q.topology, time.Now()
+	pinned := scatter.Snapshot{Epoch: t.spec.GetEpoch(), Version: t.tracker.Choose().Version}
 	early := scatter.Early{
-		Share: p.spec.GetEarlyShare(),
-		After: time.Duration(p.spec.GetEarlyAfterMs()) * time.Millisecond,
+		Share: t.spec.GetEarlyShare(),
+		After: time.Duration(t.spec.GetEarlyAfterMs()) * time.Millisecond,
 	}
-	q.gather = scatter.New(p.names, pinned, early, q.start)
-	q.tried = make([]uint64, len(p.shards))
-	q.hedgeAt = make([]time.Time, len(p.shards))
-	q.wantAt = make([]time.Time, len(p.shards))
-	q.service.budget.FirstAttempts(len(p.shards))
-	for i := range p.shards {
-		q.want(i, obs.First, now)
+	q.gather = scatter.New(t.names, pinned, early, q.start)
+	q.tried = make([]uint64, len(t.shards))
+	q.hedgeAt = make([]time.Time, len(t.shards))
+	q.retryAt = make([]time.Time, len(t.shards))
+	q.service.budget.FirstAttempts(len(t.shards))
+	for i := range t.shards {
+		q.startAttempt(i, obs.First, now)
 	}
 }
 
-// want asks for an attempt on a shard, now or when a slot is free.
-func (q *query) want(shard int, kind obs.Attempt, now time.Time) {
-	if q.hold(shard, kind, now) {
+// startAttempt sends an attempt for a shard, or queues it until a slot is free.
+func (q *query) startAttempt(shard int, kind obs.Attempt, now time.Time) {
+	if q.holdForTrial(shard, kind, now) {
 		return
 	}
-	sh := q.plan.shards[shard]
-	sh.enqueue(&waiter{query: q, rank: q.service.waitRank(q.rank), order: q.order, exclude: q.exclude(shard), kind: kind})
-	q.service.dispatch(q.plan, shard, now)
+	sh := q.topology.shards[shard]
+	sh.enqueue(&slotWaiter{query: q, rank: q.service.slotRank(q.rank), sequence: q.sequence, excluded: q.excluded(shard), kind: kind})
+	q.service.dispatch(q.topology, shard, now)
 }
 
-// exclude is the set of replicas that this query must not use for a shard.
-func (q *query) exclude(shard int) uint64 {
+// excluded returns the bit set of a shard's replicas that this query must not use:
+// those already tried and those without the pinned version.
+func (q *query) excluded(shard int) uint64 {
 	mask := q.tried[shard]
 	version := q.gather.Snapshot().Version
 	if version == snapshot.Any {
 		return mask
 	}
-	for i := range q.plan.shards[shard].set.Leaves {
-		if !q.plan.tracker.Holds(shard, i, version) {
+	for i := range q.topology.shards[shard].replicas.Leaves {
+		if !q.topology.tracker.Holds(shard, i, version) {
 			mask |= 1 << i
 		}
 	}
 	return mask
 }
 
-func (q *query) runningMask(shard int) uint64 {
+// runningReplicas returns the bit set of a shard's replicas that have an attempt in
+// flight.
+func (q *query) runningReplicas(shard int) uint64 {
 	var mask uint64
 	for _, a := range q.running {
 		if a.shard == shard {
@@ -137,64 +147,65 @@
 	return mask
 }
 
-// began notes an attempt that is about to be sent.
-func (q *query) began(a *attempt) {
+// recordStart records an attempt that is about to be sent and schedules its hedge.
+func (q *query) recordStart(a *attempt) {
 	q.running = append(q.running, a)
-	q.reached++
+	q.maybeExecuted++
 	q.gather.Started(a.shard, a.id)
-	if a.kind != obs.First || q.once || !q.service.options.Hedging {
+	if a.kind != obs.First || q.notRepeatable || !q.service.options.Hedging {
 		return
 	}
-	if delay, ok := q.plan.shards[a.shard].hedge.Delay(); ok {
+	if delay, ok := q.topology.shards[a.shard].hedgeDelay.Delay(); ok {
 		q.hedgeAt[a.shard] = a.start.Add(delay)
-		q.look(q.hedgeAt[a.shard])
+		q.wakeBy(q.hedgeAt[a.shard])
 	}
 }
 
-// look makes the query wake up at a time, at the latest.
-func (q *query) look(at time.Time) {
-	if q.nextLook.IsZero() || at.Before(q.nextLook) {
-		q.nextLook = at
+// wakeBy makes the query wake up at the given time or earlier.
+func (q *query) wakeBy(at time.Time) {
+	if q.wakeAt.IsZero() || at.Before(q.wakeAt) {
+		q.wakeAt = at
 	}
 }
 
 func (q *query) request(a *attempt) *leafpb.ExecuteRequest {
 	return &leafpb.ExecuteRequest{
 		AttemptId:     a.id,
-		RequestId:     q.ask.GetRequestId(),
-		Service:       q.ask.GetService(),
-		Shard:         q.plan.names[a.shard],
+		RequestId:     q.req.GetRequestId(),
+		Service:       q.req.GetService(),
+		Shard:         q.topology.names[a.shard],
 		Epoch:         q.gather.Snapshot().Epoch,
 		IndexVersion:  q.gather.Snapshot().Version,
-		Query:         q.ask.GetQuery(),
-		NotRepeatable: q.once,
+		Query:         q.req.GetQuery(),
+		NotRepeatable: q.notRepeatable,
 	}
 }
 
-// unreachable closes a shard that no replica can be asked for, unless an
-// attempt for it is still running.
-func (q *query) unreachable(shard int) {
+// closeUnreachable gives up a shard that has no usable replica left, unless an attempt
+// for it is in flight.
+func (q *query) closeUnreachable(shard int) {
 	if q.gather.Running(shard) > 0 {
 		return
 	}
 	why := scatter.NotMissing
 	if q.tried[shard] == 0 {
 		why = scatter.NoReplica
-		if q.exclude(shard) != 0 {
+		if q.excluded(shard) != 0 {
 			why = scatter.NotHeld
 		}
 	}
 	q.gather.GiveUp(shard, why)
-	if q.trial.shard == shard {
-		q.trial.shard = noTrial
+	if q.quarantine.trialShard == shard {
+		q.quarantine.trialShard = noTrialShard
 	}
 	select {
-	case q.nudge <- struct{}{}:
+	case q.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// loop drives the query to its end and returns with the lock held.
+// loop runs the query until it is answered, barred, canceled or out of time. It returns
+// with the lock held.
 func (q *query) loop() {
 	s := q.service
 	timer := time.NewTimer(0)
@@ -203,99 +214,100 @@
 	q.fanOut()
 	for {
 		now := time.Now()
-		if q.trial.barred || q.gather.Finished(now) || !now.Before(q.deadline) || q.ctx.Err() != nil {
+		if q.quarantine.barred || q.gather.Finished(now) || !now.Before(q.deadline) || q.ctx.Err() != nil {
 			return
 		}
-		timer.Reset(q.wake(now))
+		timer.Reset(q.sleepTime(now))
 		s.mu.Unlock()
 		select {
-		case e := <-q.events:
+		case r := <-q.results:
 			s.mu.Lock()
-			q.handle(e)
-			q.releaseHeld(time.Now())
+			q.onResult(r)
+			q.restartHeld(time.Now())
 		case <-timer.C:
 			s.mu.Lock()
 			q.onTimer(time.Now())
-			q.releaseHeld(time.Now())
-		case <-q.nudge:
+			q.restartHeld(time.Now())
+		case <-q.wakeup:
 			s.mu.Lock()
-			q.releaseHeld(time.Now())
-		case <-q.trial.news:
+			q.restartHeld(time.Now())
+		case <-q.quarantine.barredChanged:
 			s.mu.Lock()
-			q.heardNews()
+			q.recheckBarred()
 		case <-q.ctx.Done():
 			s.mu.Lock()
 		}
 	}
 }
 
-// wake returns how long the query may sleep without an event.
-func (q *query) wake(now time.Time) time.Duration {
+// sleepTime returns how long the query may wait for an event.
+func (q *query) sleepTime(now time.Time) time.Duration {
 	at := q.deadline
 	if early, ok := q.gather.EarlyAt(); ok && early.Before(at) {
 		at = early
 	}
-	if !q.nextLook.IsZero() && q.nextLook.Before(at) {
-		at = q.nextLook
+	if !q.wakeAt.IsZero() && q.wakeAt.Before(at) {
+		at = q.wakeAt
 	}
 	return max(at.Sub(now), 0)
 }
 
-// onTimer sends the hedges and the attempts after a pause that are due.
+// onTimer sends the queued attempts, delayed retries and hedges that are due.
 func (q *query) onTimer(now time.Time) {
-	q.nextLook = time.Time{}
-	for i := range q.plan.shards {
+	q.wakeAt = time.Time{}
+	for i := range q.topology.shards {
 		if !q.gather.Open(i) {
 			continue
 		}
-		q.service.dispatch(q.plan, i, now)
-		if q.due(&q.wantAt[i], now) {
-			q.want(i, obs.RetryRefused, now)
+		q.service.dispatch(q.topology, i, now)
+		if q.takeDue(&q.retryAt[i], now) {
+			q.startAttempt(i, obs.RetryRefused, now)
 		}
-		if q.due(&q.hedgeAt[i], now) && q.service.hedge(q, i, now) {
-			q.hedgeAt[i] = now.Add(dispatchTick)
-			q.look(q.hedgeAt[i])
+		if q.takeDue(&q.hedgeAt[i], now) && q.service.hedge(q, i, now) {
+			q.hedgeAt[i] = now.Add(redispatchInterval)
+			q.wakeBy(q.hedgeAt[i])
 		}
 	}
 }
 
-// due reports, once, that a time has come; until then it keeps the query awake.
-func (q *query) due(at *time.Time, now time.Time) bool {
+// takeDue reports whether the time in at has come and then clears it. Before that, it
+// makes the query wake up at that time.
+func (q *query) takeDue(at *time.Time, now time.Time) bool {
 	if at.IsZero() {
 		return false
 	}
 	if now.Before(*at) {
-		q.look(*at)
+		q.wakeBy(*at)
 		return false
 	}
 	*at = time.Time{}
 	return true
 }
 
-// finish ends the query and returns its answer. The lock is held.
+// finish ends the query and returns the merged result. s.mu must be held.
 func (q *query) finish() scatter.Result {
-	q.tellEnds(time.Now())
+	q.recordCrashes(time.Now())
 	q.done = true
-	close(q.gone)
+	close(q.closed)
 	for _, a := range q.running {
-		if !a.outlives {
+		if !a.outlivesQuery {
 			a.cancel()
 		}
 	}
-	q.service.retire(q.plan)
+	q.service.releaseTopology(q.topology)
 	return q.gather.Close()
 }
 
-// retire drops an old plan with its last query.
-func (s *Service) retire(p *plan) {
-	p.active--
-	if p.active > 0 || p == s.plan {
+// releaseTopology drops an old topology when its last query ends.
+func (s *Service) releaseTopology(t *topology) {
+	t.active--
+	if t.active > 0 || t == s.topology {
 		return
 	}
-	for i, other := range s.old {
-		if other == p {
-			s.old = append(s.old[:i], s.old[i+1:]...)
-			s.forgetUnused()
+	for i, other := range s.oldTopologies {
+		if other == t {
+			s.oldTopologies = append(s.oldTopologies[:i], s.oldTopologies[i+1:]...)
+			s.removeUnusedLeaves()
 			return
 		}
 	}
--- a/internal/home/reply.go
+++ b/internal/home/reply.go
@@ -10,45 +10,46 @@
 	"github.com/mallowgap/mallowgap/scatter"
 )
 
-// handle takes in the end of an attempt.
-func (q *query) handle(e event) {
-	a, now := e.attempt, time.Now()
-	q.drop(a)
-	if q.trial.shard == a.shard {
-		q.trial.shard = noTrial
+// onResult handles the end of an attempt.
+func (q *query) onResult(r attemptResult) {
+	a, now := r.attempt, time.Now()
+	q.removeRunning(a)
+	if q.quarantine.trialShard == a.shard {
+		q.quarantine.trialShard = noTrialShard
 	}
-	if e.ended {
-		q.leafEnded(a, now)
+	if r.leafCrashed {
+		q.onLeafCrash(a, now)
 	}
 	if a.generation != q.restarts {
-		q.late(e)
+		q.onStaleResult(r)
 		return
 	}
 	switch {
-	case leaf.NotSent(e.err):
-		q.reached--
+	case leaf.NotSent(r.err):
+		q.maybeExecuted--
 		q.gather.Ended(a.shard, a.id, scatter.Failed)
-		q.again(a, obs.RetryNotSent, true, now)
-	case e.err != nil:
+		q.retryAttempt(a, obs.RetryNotSent, true, now)
+	case r.err != nil:
 		q.gather.Ended(a.shard, a.id, scatter.Failed)
-		q.again(a, obs.RetryFailed, false, now)
-	case e.reply.GetRefusal() != nil:
-		q.reached--
+		q.retryAttempt(a, obs.RetryFailed, false, now)
+	case r.reply.GetRefusal() != nil:
+		q.maybeExecuted--
 		q.gather.Ended(a.shard, a.id, scatter.Refused)
-		q.onRefusal(a, e.reply.GetRefusal().GetKind(), now)
+		q.onRefusal(a, r.reply.GetRefusal().GetKind(), now)
 	default:
-		q.onPart(a, e.reply.GetPart(), now)
+		q.onPart(a, r.reply.GetPart(), now)
 	}
 }
 
-// late takes in the end of an attempt from before a restart.
-func (q *query) late(e event) {
-	if leaf.NotSent(e.err) || e.reply.GetRefusal() != nil {
-		q.reached--
+// onStaleResult handles the end of an attempt sent before a restart: only whether it
+// was executed still matters.
+func (q *query) onStaleResult(r attemptResult) {
+	if leaf.NotSent(r.err) || r.reply.GetRefusal() != nil {
+		q.maybeExecuted--
 	}
 }
 
-func (q *query) drop(a *attempt) {
+func (q *query) removeRunning(a *attempt) {
 	for i, r := range q.running {
 		if r == a {
 			q.running = append(q.running[:i], q.running[i+1:]...)
@@ -57,6 +58,7 @@
 	}
 }
 
+// onPart offers a part to the gather and retries the shard if the part was rejected.
 func (q *query) onPart(a *attempt, p *leafpb.Part, now time.Time) {
 	verdict := q.gather.Reply(a.shard, a.id, scatter.Part{
 		Shard:    p.GetShard(),
@@ -67,83 +69,84 @@
 	obs.CountPart(verdict.String())
 	switch verdict {
 	case scatter.Merged:
-		q.served(now)
+		q.onServed(now)
 		q.cancelOthers(a.shard)
 	case scatter.OtherSnapshot:
-		q.again(a, obs.RetrySnapshot, false, now)
+		q.retryAttempt(a, obs.RetrySnapshot, false, now)
 	case scatter.CutShort:
-		q.again(a, obs.RetryFailed, false, now)
+		q.retryAttempt(a, obs.RetryFailed, false, now)
 	}
 }
 
+// cancelOthers cancels the remaining attempts for a shard, except probes.
 func (q *query) cancelOthers(shard int) {
 	for _, a := range q.running {
-		if a.shard == shard && !a.outlives {
+		if a.shard == shard && !a.outlivesQuery {
 			a.cancel()
 		}
 	}
 }
 
+// onRefusal retries a refused attempt according to the kind of refusal.
 func (q *query) onRefusal(a *attempt, kind leafpb.Refusal_Kind, now time.Time) {
 	switch kind {
 	case leafpb.Refusal_DRAINING:
-		q.again(a, obs.RetryDraining, true, now)
+		q.retryAttempt(a, obs.RetryDraining, true, now)
 	case leafpb.Refusal_VERSION_GONE, leafpb.Refusal_WRONG_SHARD:
-		q.again(a, obs.RetrySnapshot, false, now)
-		q.reconsider()
+		q.retryAttempt(a, obs.RetrySnapshot, false, now)
+		q.maybeRestart()
 	default:
-		q.again(a, obs.RetryRefused, false, now)
+		q.retryAttempt(a, obs.RetryRefused, false, now)
 	}
 }
 
-// again decides about another attempt after one ended without a part. A
-// request that must not run twice gets one only if the ended attempt is known
-// not to have been executed. free attempts need no budget.
-func (q *query) again(a *attempt, kind obs.Attempt, free bool, now time.Time) {
+// retryAttempt retries a shard after an attempt ended without a part. A non-repeatable
+// request is retried only if no leaf can have executed it. A retry that is budgetExempt
+// takes no token.
+func (q *query) retryAttempt(a *attempt, kind obs.Attempt, budgetExempt bool, now time.Time) {
 	if !q.gather.Open(a.shard) || q.gather.Running(a.shard) > 0 {
 		return
 	}
 	if kind != obs.RetryRefused {
 		q.tried[a.shard] |= 1 << a.leaf
 	}
-	if q.once && q.reached > 0 {
+	if q.notRepeatable && q.maybeExecuted > 0 {
 		q.gather.GiveUp(a.shard, scatter.NotMissing)
 		return
 	}
-	set := q.plan.shards[a.shard].set
-	if !set.Reachable(q.exclude(a.shard)) {
-		q.unreachable(a.shard)
+	replicas := q.topology.shards[a.shard].replicas
+	if !replicas.Reachable(q.excluded(a.shard)) {
+		q.closeUnreachable(a.shard)
 		return
 	}
-	if !free && !q.service.extra(kind, q.rank) {
+	if !budgetExempt && !q.service.takeExtraAttempt(kind, q.rank) {
 		if kind == obs.RetryRefused {
-			q.wantLater(a.shard, now)
+			q.retryLater(a.shard, now)
 			return
 		}
 		q.gather.GiveUp(a.shard, scatter.NotMissing)
 		return
 	}
-	q.want(a.shard, kind, now)
+	q.startAttempt(a.shard, kind, now)
 }
 
-// wantLater asks for another attempt after a pause. A request that was shed
-// cost its leaf next to nothing, and slots become free; without budget it is
-// the pause that keeps the load down.
-func (q *query) wantLater(shard int, now time.Time) {
-	q.wantAt[shard] = now.Add(limit.ShedPause)
-	q.look(q.wantAt[shard])
+// retryLater schedules a retry without a token. A shed request costs its leaf almost
+// nothing, and the delay bounds the extra load.
+func (q *query) retryLater(shard int, now time.Time) {
+	q.retryAt[shard] = now.Add(limit.ShedPause)
+	q.wakeBy(q.retryAt[shard])
 }
 
-// reconsider begins anew on another snapshot where the pinned one is going
-// away, if another serves more shards and half of the time is left.
-func (q *query) reconsider() {
+// maybeRestart starts the query over on another snapshot if that serves more shards
+// than the pinned one and at most half of the query's time has passed.
+func (q *query) maybeRestart() {
 	now := time.Now()
-	if q.once || q.restarts >= maxRestarts || now.Sub(q.start) > q.deadline.Sub(now) {
+	if q.notRepeatable || q.restarts >= maxRestarts || now.Sub(q.start) > q.deadline.Sub(now) {
 		return
 	}
 	pinned := q.gather.Snapshot().Version
-	choice := q.plan.tracker.Choose()
-	if choice.Version == pinned || choice.Shards <= q.servable() {
+	choice := q.topology.tracker.Choose()
+	if choice.Version == pinned || choice.Shards <= q.servableShards() {
 		return
 	}
 	q.restarts++
@@ -154,11 +157,11 @@
 	q.fanOut()
 }
 
-// servable counts the shards that contributed or can still do so.
-func (q *query) servable() int {
+// servableShards counts the shards that contributed or still can.
+func (q *query) servableShards() int {
 	n := 0
-	for i := range q.plan.shards {
-		if q.gather.Contributed(i) || q.plan.shards[i].set.Reachable(q.exclude(i)) {
+	for i := range q.topology.shards {
+		if q.gather.Contributed(i) || q.topology.shards[i].replicas.Reachable(q.excluded(i)) {
 			n++
 		}
 	}
--- a/internal/home/serve.go
+++ b/internal/home/serve.go
@@ -11,73 +11,73 @@
 	"github.com/mallowgap/mallowgap/scatter"
 )
 
-// Serve runs one request to its end. ctx must have a deadline. The reply names
-// one of the three outcomes; NOT_RUN is given only where no leaf can have
-// executed anything, now or later.
-func (s *Service) Serve(ctx context.Context, ask *callerpb.AskRequest, rank uint32) *callerpb.AskReply {
-	deadline := keepMargin(ctx, time.Now())
+// Serve runs one request to completion. ctx must have a deadline. The outcome NOT_RUN
+// is returned only if no leaf has executed the request and none can do so later.
+func (s *Service) Serve(ctx context.Context, req *callerpb.AskRequest, rank uint32) *callerpb.AskReply {
+	deadline := replyDeadline(ctx, time.Now())
 	s.mu.Lock()
-	begin, barred := s.standing(ask, deadline, time.Now())
+	initial, barredReply := s.checkQuarantine(req, deadline, time.Now())
 	s.mu.Unlock()
-	if barred != nil {
-		return barred
+	if barredReply != nil {
+		return barredReply
 	}
-	if refusal := s.await(ctx, ask, rank, deadline); refusal != nil {
+	if refusal := s.awaitAdmission(ctx, req, rank, deadline); refusal != nil {
 		return refusal
 	}
 	s.mu.Lock()
-	q := s.newQuery(ctx, ask, rank, deadline, begin)
+	q := s.newQuery(ctx, req, rank, deadline, initial)
 	s.mu.Unlock()
 	defer q.cancel()
 	q.loop()
 	result := q.finish()
-	reached := q.reached
+	maybeExecuted := q.maybeExecuted
 	s.queue.Done(rank, time.Since(q.start))
 	s.queue.Admit()
-	service := s.queue.Service(rank)
-	spec := q.plan.spec
-	text := ""
-	if q.trial.barred {
-		text = s.barredText(fingerprint(ask))
+	serviceTime := s.queue.Service(rank)
+	spec := q.topology.spec
+	barredText := ""
+	if q.quarantine.barred {
+		barredText = s.barredMessage(fingerprint(req))
 	}
 	s.mu.Unlock()
-	if text != "" && reached > 0 {
-		return Unknown(ask, callerpb.Reason_BARRED, text, quarantine.FirstProbation)
+	if barredText != "" && maybeExecuted > 0 {
+		return Unknown(req, callerpb.Reason_BARRED, barredText, quarantine.FirstProbation)
 	}
-	return conclude(ctx, ask, result, reached, spec.GetMinCoverage(), service)
+	return buildReply(ctx, req, result, maybeExecuted, spec.GetMinCoverage(), serviceTime)
 }
 
-// keepMargin is the deadline by which the answer has to leave this host.
-func keepMargin(ctx context.Context, now time.Time) time.Time {
+// replyDeadline returns the time by which the reply must leave this host to reach the
+// caller before the deadline of ctx.
+func replyDeadline(ctx context.Context, now time.Time) time.Time {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		panic("home: Serve needs a deadline")
+		panic("home: Serve requires a context with a deadline")
 	}
-	margin := time.Duration(float64(deadline.Sub(now)) * replyMargin)
-	return deadline.Add(-min(margin, longestMargin))
+	margin := time.Duration(float64(deadline.Sub(now)) * replyMarginShare)
+	return deadline.Add(-min(margin, maxReplyMargin))
 }
 
-// await waits for admission. It returns a refusal where the request was not
-// admitted, at the moment that this is certain.
-func (s *Service) await(ctx context.Context, ask *callerpb.AskRequest, rank uint32, deadline time.Time) *callerpb.AskReply {
+// awaitAdmission waits until the request is admitted and returns nil, or returns a
+// refusal as soon as the request can no longer be answered in time.
+func (s *Service) awaitAdmission(ctx context.Context, req *callerpb.AskRequest, rank uint32, deadline time.Time) *callerpb.AskReply {
 	admitted := make(chan struct{})
 	item := &admission.Item{Rank: rank, Deadline: deadline, Admitted: func() { close(admitted) }}
 	s.mu.Lock()
 	s.measureCapacity(time.Now())
-	refusal, after := s.queue.Offer(item, time.Now())
+	refusal, retryAfter := s.queue.Offer(item, time.Now())
 	s.queue.Admit()
-	latest := deadline.Add(-s.queue.Service(rank))
+	latestStart := deadline.Add(-s.queue.Service(rank))
 	s.mu.Unlock()
 	switch refusal {
 	case admission.QueueFull:
-		return NotRun(ask, callerpb.Reason_QUEUE_FULL, "too many requests of the class wait: come back later", after)
+		return NotRun(req, callerpb.Reason_QUEUE_FULL, "too many requests of this class are queued: retry later", retryAfter)
 	case admission.TooLate:
-		return NotRun(ask, callerpb.Reason_DEADLINE_TOO_SHORT, "the request would not be answered by its deadline: come back later or allow more time", after)
+		return NotRun(req, callerpb.Reason_DEADLINE_TOO_SHORT, "the request cannot be answered by its deadline: retry later or set a longer deadline", retryAfter)
 	}
 	if s.options.Queue.Order == admission.FIFO {
-		latest = deadline
+		latestStart = deadline
 	}
-	timer := time.NewTimer(time.Until(latest))
+	timer := time.NewTimer(time.Until(latestStart))
 	defer timer.Stop()
 	reason := callerpb.Reason_DEADLINE_TOO_SHORT
 	select {
@@ -92,55 +92,57 @@
 	if !s.queue.Withdraw(item) {
 		return nil
 	}
-	return NotRun(ask, reason, "the request waited until it could no longer be answered in time: come back later", s.queue.Wait(rank))
+	return NotRun(req, reason, "the request was queued until it could no longer be answered by its deadline: retry later", s.queue.Wait(rank))
 }
 
-// NotRun is the reply to a request that was executed nowhere.
-func NotRun(ask *callerpb.AskRequest, reason callerpb.Reason, message string, after time.Duration) *callerpb.AskReply {
-	return refuse(ask, callerpb.Outcome_NOT_RUN, reason, message, after)
+// NotRun returns the reply to a request that no leaf executed.
+func NotRun(req *callerpb.AskRequest, reason callerpb.Reason, message string, retryAfter time.Duration) *callerpb.AskReply {
+	return failureReply(req, callerpb.Outcome_NOT_RUN, reason, message, retryAfter)
 }
 
-// Unknown is the reply to a request that may have been executed.
-func Unknown(ask *callerpb.AskRequest, reason callerpb.Reason, message string, after time.Duration) *callerpb.AskReply {
-	return refuse(ask, callerpb.Outcome_UNKNOWN, reason, message, after)
+// Unknown returns the reply to a request that may have been executed.
+func Unknown(req *callerpb.AskRequest, reason callerpb.Reason, message string, retryAfter time.Duration) *callerpb.AskReply {
+	return failureReply(req, callerpb.Outcome_UNKNOWN, reason, message, retryAfter)
 }
 
-func refuse(ask *callerpb.AskRequest, outcome callerpb.Outcome, reason callerpb.Reason, message string, after time.Duration) *callerpb.AskReply {
+func failureReply(req *callerpb.AskRequest, outcome callerpb.Outcome, reason callerpb.Reason, message string, retryAfter time.Duration) *callerpb.AskReply {
 	return &callerpb.AskReply{
-		RequestId:    ask.GetRequestId(),
+		RequestId:    req.GetRequestId(),
 		Outcome:      outcome,
 		Reason:       reason,
 		Message:      message,
-		RetryAfterMs: uint32((after + time.Millisecond - 1) / time.Millisecond),
+		RetryAfterMs: uint32((retryAfter + time.Millisecond - 1) / time.Millisecond),
 	}
 }
 
-// conclude makes the reply from the merged parts.
-func conclude(ctx context.Context, ask *callerpb.AskRequest, result scatter.Result, reached int, minCoverage float64, after time.Duration) *callerpb.AskReply {
+// buildReply returns an answer if enough shards contributed, and otherwise a failure
+// with the coverage. A non-repeatable request needs every shard.
+func buildReply(ctx context.Context, req *callerpb.AskRequest, result scatter.Result, maybeExecuted int, minCoverage float64, retryAfter time.Duration) *callerpb.AskReply {
 	total := len(result.Contributed) + len(result.Missing)
-	enough := len(result.Contributed) > 0 && float64(len(result.Contributed)) >= minCoverage*float64(total)
-	if enough && (len(result.Missing) == 0 || !ask.GetNotRepeatable()) {
+	covered := len(result.Contributed) > 0 && float64(len(result.Contributed)) >= minCoverage*float64(total)
+	if covered && (len(result.Missing) == 0 || !req.GetNotRepeatable()) {
 		return &callerpb.AskReply{
-			RequestId: ask.GetRequestId(),
+			RequestId: req.GetRequestId(),
 			Outcome:   callerpb.Outcome_ANSWERED,
 			Snapshot:  &callerpb.Snapshot{Epoch: result.Snapshot.Epoch, IndexVersion: result.Snapshot.Version},
 			Coverage:  coverage(result),
 			Rows:      result.Rows,
 		}
 	}
-	reply := Unknown(ask, reasonFor(ctx, result), "", after)
+	reply := Unknown(req, reasonFor(ctx, result), "", retryAfter)
 	reply.Coverage = coverage(result)
-	if reached == 0 {
+	if maybeExecuted == 0 {
 		reply.Outcome = callerpb.Outcome_NOT_RUN
-		reply.Message = "no leaf ran the request: come back later"
+		reply.Message = "no leaf executed the request: retry later"
 		return reply
 	}
-	reply.Message = fmt.Sprintf("%d of %d shards answered; the request may have run: repeat it if it is repeatable, else resend it with the same ticket",
+	reply.Message = fmt.Sprintf("%d of %d shards answered, and the request may have been executed: repeat it if it is repeatable, otherwise resend it with the same ticket",
 		len(result.Contributed), total)
 	return reply
 }
 
-// reasonFor names the reason that the most shards are missing for.
+// reasonFor returns the reason of a failed query: cancellation, then low coverage, then
+// the cause at the first missing shard that has one.
 func reasonFor(ctx context.Context, result scatter.Result) callerpb.Reason {
 	if ctx.Err() == context.Canceled {
 		return callerpb.Reason_CANCELLED
--- a/internal/home/service.go
+++ b/internal/home/service.go
@@ -18,145 +18,160 @@
 	"github.com/mallowgap/mallowgap/retry"
 )
 
-// budgetSize is the number of extra attempts that may come in one burst.
-const budgetSize = 20
+// budgetBurst is the capacity of the token bucket for retries and hedges, in attempts.
+const budgetBurst = 20
 
-// capacityEvery is the interval at which the capacity is measured.
-const capacityEvery = 50 * time.Millisecond
+// capacityInterval is the shortest time between two updates of the admission capacity.
+const capacityInterval = 50 * time.Millisecond
 
-// warmAtOnce bounds the connections opened at the same time.
-const warmAtOnce = 16
+// maxConcurrentDials bounds the connections to leaves that are opened at the same time.
+const maxConcurrentDials = 16
 
-// describeTimeout bounds the first call to a leaf.
+// describeTimeout bounds the Describe call that opens the connection to a leaf.
 const describeTimeout = time.Second
 
-// Options are the policies of a service.
+// Options configures the query handling of a service.
 type Options struct {
 	Queue     admission.Settings
 	Selection replica.Policy
 	Hedging   bool
-	// HedgeQuantile is the percentile of a shard's latency after which a hedge
-	// is due.
+	// HedgeQuantile is the percentile (0 to 100) of a shard's recent latency after
+	// which a hedge is sent.
 	HedgeQuantile float64
-	ExtraShare    float64
-	// Prefix makes attempt identifiers unique: host name and incarnation.
+	// ExtraShare is the number of retries and hedges permitted per first attempt.
+	ExtraShare float64
+	// Prefix makes attempt identifiers unique across hosts and restarts: host name and
+	// incarnation.
 	Prefix string
-	// Leaving is called, outside of all locks, when a leaf said that it leaves.
+	// Leaving is called without any lock held when a leaf reports that it is draining.
 	Leaving func(address string, incarnation uint64)
-	// Seen is called, outside of all locks, when a leaf is found to have
-	// started anew.
+	// Seen is called without any lock held when a leaf reports a new incarnation that
+	// is not draining.
 	Seen func(address string, incarnation uint64)
 	Seed uint64
 }
 
-// Service carries the queries of one service. It is safe for concurrent use.
+// Service coordinates the queries of one service at this host. It is safe for
+// concurrent use.
 type Service struct {
-	name    string
-	options Options
-	client  leaf.Client
-	ids     atomic.Uint64
+	name          string
+	options       Options
+	client        leaf.Client
+	lastAttemptID atomic.Uint64
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	share  Share
-	plan   *plan
-	old    []*plan
+	// mu guards the fields below. It is never held during a call.
+	mu    sync.Mutex
+	rng   *rand.Rand
+	share Share
+	// topology is that of the current shard map. Running queries may still use
+	// oldTopologies.
+	topology      *topology
+	oldTopologies []*topology
+	// leaves holds the state of each leaf by address. All topologies share it.
 	leaves map[string]*replica.Leaf
-	// incarnations are those that leaves last reported.
+	// incarnations holds the incarnation that each leaf last reported, by address.
 	incarnations map[string]uint64
 	queue        *admission.Queue
 	budget       *retry.Budget
-	// book knows the queries under which leaves ended.
-	book *quarantine.Book
-	// barred is closed, and made anew, when a content is barred.
-	barred chan struct{}
-	order  uint64
-	// measured is when the capacity was last measured.
-	measured time.Time
-	leaving  func(address string) (uint64, bool)
+	// quarantine records the queries under which leaves crashed.
+	quarantine *quarantine.Book
+	// barredChanged is closed and replaced whenever a query content becomes barred.
+	barredChanged chan struct{}
+	// sequence numbers the queries in the order of their admission.
+	sequence uint64
+	// capacityMeasuredAt is the time of the last capacity update; the zero time forces
+	// one.
+	capacityMeasuredAt time.Time
+	// leavingIncarnation returns the incarnation of a leaf that is known to be leaving.
+	leavingIncarnation func(address string) (uint64, bool)
 }
 
-// NewService returns a service without a plan; Configure must follow.
+// NewService returns a service without a shard map; Configure must be called before
+// Serve.
 func NewService(name string, client leaf.Client, options Options) *Service {
 	return &Service{
-		name:         name,
-		options:      options,
-		client:       client,
-		rng:          rand.New(rand.NewPCG(options.Seed, uint64(len(name)))),
-		leaves:       map[string]*replica.Leaf{},
-		incarnations: map[string]uint64{},
-		queue:        admission.New(options.Queue, 1),
-		budget:       retry.NewBudget(options.ExtraShare, budgetSize),
-		book:         quarantine.NewBook(name),
-		barred:       make(chan struct{}),
-		leaving:      func(string) (uint64, bool) { return 0, false },
+		name:               name,
+		options:            options,
+		client:             client,
+		rng:                rand.New(rand.NewPCG(options.Seed, uint64(len(name)))),
+		leaves:             map[string]*replica.Leaf{},
+		incarnations:       map[string]uint64{},
+		queue:              admission.New(options.Queue, 1),
+		budget:             retry.NewBudget(options.ExtraShare, budgetBurst),
+		quarantine:         quarantine.NewBook(name),
+		barredChanged:      make(chan struct{}),
+		leavingIncarnation: func(string) (uint64, bool) { return 0, false },
 	}
 }
 
-// Configure puts a shard map, this host's share and the leaving leaves in
-// force. Running queries keep the shard map they began with.
-func (s *Service) Configure(spec *configpb.Service, share Share, leaving func(address string) (uint64, bool)) {
+// Configure applies a shard map, this host's share of the slots and the known leaving
+// leaves. Running queries keep the shard map they started with.
+func (s *Service) Configure(spec *configpb.Service, share Share, leavingIncarnation func(address string) (uint64, bool)) {
 	s.mu.Lock()
-	s.leaving = leaving
-	fresh := s.plan == nil || s.plan.spec != spec
-	if fresh || s.share != share {
+	s.leavingIncarnation = leavingIncarnation
+	specChanged := s.topology == nil || s.topology.spec != spec
+	if specChanged || s.share != share {
 		s.share = share
-		s.replace(spec)
+		s.replaceTopology(spec)
 	}
-	s.applyLeaving()
-	s.measured = time.Time{}
+	s.markLeaving()
+	s.capacityMeasuredAt = time.Time{}
 	s.measureCapacity(time.Now())
 	s.queue.Admit()
 	s.dispatchAll()
-	p := s.plan
+	t := s.topology
 	s.mu.Unlock()
-	if fresh {
-		s.warm(p)
+	if specChanged {
+		s.connect(t)
 	}
 }
 
-// measureCapacity follows the state of the leaves, at most once an interval.
+// measureCapacity updates the admission capacity from the state of the leaves, at most
+// once per capacityInterval.
 func (s *Service) measureCapacity(now time.Time) {
-	if now.Sub(s.measured) < capacityEvery {
+	if now.Sub(s.capacityMeasuredAt) < capacityInterval {
 		return
 	}
-	s.measured = now
-	s.queue.SetCapacity(s.plan.capacity(now))
+	s.capacityMeasuredAt = now
+	s.queue.SetCapacity(s.topology.capacity(now))
 }
 
-// replace makes the plan of a new shard map; what is known of leaves stays.
-func (s *Service) replace(spec *configpb.Service) {
-	previous := s.plan
-	s.plan = newPlan(spec, s.share, s.leaves, s.options, s.rng)
+// replaceTopology installs the topology of a new shard map. The state of leaves that
+// remain is kept.
+func (s *Service) replaceTopology(spec *configpb.Service) {
+	previous := s.topology
+	s.topology = newTopology(spec, s.share, s.leaves, s.options, s.rng)
 	if previous == nil {
 		return
 	}
-	previous.copyVersions(s.plan)
+	previous.copyVersions(s.topology)
 	if previous.active > 0 {
-		s.old = append(s.old, previous)
+		s.oldTopologies = append(s.oldTopologies, previous)
 	}
-	s.forgetUnused()
+	s.removeUnusedLeaves()
 }
 
-func (p *plan) copyVersions(to *plan) {
-	for address, places := range to.byLeaf {
-		from, ok := p.byLeaf[address]
+// copyVersions copies the known index versions of leaves that both topologies contain.
+func (t *topology) copyVersions(to *topology) {
+	for address, refs := range to.byAddress {
+		from, ok := t.byAddress[address]
 		if !ok {
 			continue
 		}
-		versions := p.tracker.Versions(from[0].shard, from[0].leaf)
-		for _, at := range places {
-			to.tracker.Observe(at.shard, at.leaf, versions)
+		versions := t.tracker.Versions(from[0].shard, from[0].leaf)
+		for _, ref := range refs {
+			to.tracker.Observe(ref.shard, ref.leaf, versions)
 		}
 	}
 }
 
-// forgetUnused closes connections to leaves that no plan names.
-func (s *Service) forgetUnused() {
+// removeUnusedLeaves drops the state of leaves that no topology contains and closes
+// their connections.
+func (s *Service) removeUnusedLeaves() {
 	for address := range s.leaves {
-		used := len(s.plan.byLeaf[address]) > 0
-		for _, p := range s.old {
-			used = used || len(p.byLeaf[address]) > 0
+		used := len(s.topology.byAddress[address]) > 0
+		for _, t := range s.oldTopologies {
+			used = used || len(t.byAddress[address]) > 0
 		}
 		if !used {
 			delete(s.leaves, address)
@@ -166,14 +181,14 @@
 	}
 }
 
-// warm opens the connections of a plan ahead of need, a few at a time, and
-// learns the versions.
-func (s *Service) warm(p *plan) {
-	turns := make(chan struct{}, warmAtOnce)
-	for address := range p.byLeaf {
+// connect opens the connections to all leaves before queries need them and learns the
+// leaves' index versions.
+func (s *Service) connect(t *topology) {
+	sem := make(chan struct{}, maxConcurrentDials)
+	for address := range t.byAddress {
 		go func() {
-			turns <- struct{}{}
-			defer func() { <-turns }()
+			sem <- struct{}{}
+			defer func() { <-sem }()
 			ctx, cancel := context.WithTimeout(context.Background(), describeTimeout)
 			defer cancel()
 			reply, err := s.client.Describe(ctx, address)
@@ -181,96 +196,103 @@
 				return
 			}
 			s.mu.Lock()
-			report := s.observe(address, reply.GetStatus(), time.Now())
+			notify := s.observeStatus(address, reply.GetStatus(), time.Now())
 			s.mu.Unlock()
-			report()
+			notify()
 		}()
 	}
 }
 
-// applyLeaving marks the leaves that are known to leave.
-func (s *Service) applyLeaving() {
+// markLeaving updates which leaves are leaving. An announcement applies to the
+// announced incarnation and earlier ones, not to a restarted leaf.
+func (s *Service) markLeaving() {
 	for address, l := range s.leaves {
-		incarnation, leaving := s.leaving(address)
+		incarnation, leaving := s.leavingIncarnation(address)
 		known := s.incarnations[address]
 		l.Leaving = leaving && (incarnation == 0 || known == 0 || known <= incarnation)
-		for _, p := range s.plans() {
-			for _, at := range p.byLeaf[address] {
-				p.tracker.SetOut(at.shard, at.leaf, l.Leaving)
+		for _, t := range s.topologies() {
+			for _, ref := range t.byAddress[address] {
+				t.tracker.SetOut(ref.shard, ref.leaf, l.Leaving)
 			}
 		}
 	}
 }
 
-func (s *Service) plans() []*plan { return append([]*plan{s.plan}, s.old...) }
+// topologies returns the current topology and the old ones still in use.
+func (s *Service) topologies() []*topology {
+	return append([]*topology{s.topology}, s.oldTopologies...)
+}
 
-// observe takes in the status that came with a reply. It returns what to do
-// once the lock is released.
-func (s *Service) observe(address string, status *leafpb.Status, now time.Time) func() {
-	report := func() {}
+// observeStatus applies the status that a leaf sent with a reply. The caller must call
+// the returned function after releasing the lock.
+func (s *Service) observeStatus(address string, status *leafpb.Status, now time.Time) func() {
+	notify := func() {}
 	if status == nil {
-		return report
+		return notify
 	}
-	for _, p := range s.plans() {
-		for _, at := range p.byLeaf[address] {
-			p.tracker.Observe(at.shard, at.leaf, status.GetIndexVersions())
+	for _, t := range s.topologies() {
+		for _, ref := range t.byAddress[address] {
+			t.tracker.Observe(ref.shard, ref.leaf, status.GetIndexVersions())
 		}
 	}
 	known, incarnation := s.incarnations[address], status.GetIncarnation()
 	l := s.leaves[address]
 	if l == nil {
-		return report
+		return notify
 	}
 	if incarnation > known {
 		s.incarnations[address] = incarnation
 		if known != 0 {
-			s.restarted(address, now)
+			s.leafRestarted(address, now)
 		}
-		s.applyLeaving()
+		s.markLeaving()
 		if !status.GetDraining() && s.options.Seen != nil {
-			report = func() { s.options.Seen(address, incarnation) }
+			notify = func() { s.options.Seen(address, incarnation) }
 		}
 	}
 	if status.GetDraining() && !l.Leaving && incarnation >= known {
 		l.Leaving = true
-		s.measured = time.Time{}
+		s.capacityMeasuredAt = time.Time{}
 		if s.options.Leaving != nil {
-			report = func() { s.options.Leaving(address, incarnation) }
+			notify = func() { s.options.Leaving(address, incarnation) }
 		}
 	}
-	return report
+	return notify
 }
 
-func (s *Service) restarted(address string, now time.Time) {
-	for _, p := range s.plans() {
-		for _, at := range p.byLeaf[address] {
-			p.shards[at.shard].set.Restarted(at.leaf, now)
+// leafRestarted discards what was observed of the previous process of a leaf.
+func (s *Service) leafRestarted(address string, now time.Time) {
+	for _, t := range s.topologies() {
+		for _, ref := range t.byAddress[address] {
+			t.shards[ref.shard].replicas.Restarted(ref.leaf, now)
 		}
 	}
 }
 
-// attemptID is unique over all attempts of all hosts and incarnations.
-func (s *Service) attemptID() string {
-	return fmt.Sprintf("%s/%s/%d", s.options.Prefix, s.name, s.ids.Add(1))
+// newAttemptID returns an identifier that is unique across all hosts and incarnations.
+func (s *Service) newAttemptID() string {
+	return fmt.Sprintf("%s/%s/%d", s.options.Prefix, s.name, s.lastAttemptID.Add(1))
 }
 
-// waitRank is the rank by which a request waits for a slot.
-func (s *Service) waitRank(rank uint32) uint32 {
+// slotRank returns the rank with which a request queues for slots: 0 for all if
+// admission is FIFO.
+func (s *Service) slotRank(rank uint32) uint32 {
 	if s.options.Queue.Order == admission.FIFO {
 		return 0
 	}
 	return rank
 }
 
-// InFlight returns the numbers of running and waiting queries.
+// InFlight returns the numbers of running and queued queries.
 func (s *Service) InFlight() (running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queue.Running(), s.queue.Waiting()
 }
 
-// extra asks the budget for one extra attempt.
-func (s *Service) extra(kind obs.Attempt, rank uint32) bool {
+// takeExtraAttempt reports whether the budget permits one more retry or hedge, and
+// counts a denial.
+func (s *Service) takeExtraAttempt(kind obs.Attempt, rank uint32) bool {
 	if s.budget.Take(rank) {
 		return true
 	}
--- a/internal/home/trial.go
+++ b/internal/home/trial.go
@@ -11,177 +11,184 @@
 )
 
 const (
-	// witnessTimeout bounds the question that tells whether a leaf ended with a query: the way
-	// to another failure domain and back many times.
-	witnessTimeout = 100 * time.Millisecond
-	// verdictStep is how often a query that waits for its trial looks whether it is needed yet.
-	verdictStep = 20 * time.Millisecond
-	// noTrial is the shard on trial where none is.
-	noTrial = -1
+	// crashCheckTimeout bounds the Describe call that checks for a crash. It allows for
+	// several round trips to another failure domain.
+	crashCheckTimeout = 100 * time.Millisecond
+	// trialPollInterval is how often a query that is held for a trial checks whether
+	// the trial is still needed.
+	trialPollInterval = 20 * time.Millisecond
+	// noTrialShard is the value of trialShard while no trial is running.
+	noTrialShard = -1
 )
 
-// trial is what a query does about leaves that end under it. The home of a service sees all of
-// its queries, so that what it knows need not be told to other hosts; a host that becomes the
-// home finds out anew, at the cost of a few leaves.
-type trial struct {
+// quarantineState tracks the leaf crashes under one query. The home sees all queries of
+// its service, so nothing is shared with other hosts; a host that becomes the home
+// starts without this knowledge and may lose a few leaves to learn it again.
+type quarantineState struct {
 	quarantine.Suspicion
-	// shard is the one on trial, or noTrial.
-	shard int
-	// held are the attempts that wait for the trial.
+	// trialShard is the shard whose attempt is on trial, or noTrialShard.
+	trialShard int
+	// held are the attempts that wait for the trial to end.
 	held []heldAttempt
-	// probation tells that the content is barred and this query is its trial.
+	// probation is set if the content is barred and this query retries it after its
+	// probation.
 	probation bool
-	barred    bool
-	// news is closed when some content is barred.
-	news <-chan struct{}
+	// barred is set if the content was barred while the query was running.
+	barred bool
+	// barredChanged is closed when any content becomes barred.
+	barredChanged <-chan struct{}
 }
 
-// heldAttempt is an attempt that waits for a trial.
+// heldAttempt is an attempt that is held back during a trial.
 type heldAttempt struct {
 	shard int
 	kind  obs.Attempt
 }
 
-// fingerprint stands for the content of a query and its desk.
-func fingerprint(ask *callerpb.AskRequest) quarantine.Fingerprint {
-	return quarantine.Of(quarantine.Content{Host: ask.GetService(), Caller: ask.GetDesk(), Body: ask.GetQuery()})
+// fingerprint identifies the content of a request and its desk.
+func fingerprint(req *callerpb.AskRequest) quarantine.Fingerprint {
+	return quarantine.Of(quarantine.Content{Host: req.GetService(), Caller: req.GetDesk(), Body: req.GetQuery()})
 }
 
-// standing looks up what is known of a query, and how it begins. It returns a refusal where its
-// content is barred and no trial of it is due. The lock is held.
-func (s *Service) standing(ask *callerpb.AskRequest, deadline, now time.Time) (trial, *callerpb.AskReply) {
-	t := trial{shard: noTrial, news: s.barred}
-	if s.book.Len() == 0 {
-		return t, nil
+// checkQuarantine returns the initial quarantine state of a query, or a refusal if its
+// content is barred and no trial is due. s.mu must be held.
+func (s *Service) checkQuarantine(req *callerpb.AskRequest, deadline, now time.Time) (quarantineState, *callerpb.AskReply) {
+	state := quarantineState{trialShard: noTrialShard, barredChanged: s.barredChanged}
+	if s.quarantine.Len() == 0 {
+		return state, nil
 	}
-	s.book.Expired(now) // Nothing is kept elsewhere that would have to be removed.
-	s.tell()
-	f := fingerprint(ask)
-	switch s.book.Standing(f) {
+	s.quarantine.Expired(now) // The returned names matter only to a shared store, and there is none here.
+	s.signalBarred()
+	f := fingerprint(req)
+	switch s.quarantine.Standing(f) {
 	case quarantine.Clear:
-		return t, nil
+		return state, nil
 	case quarantine.Suspect:
-		t.Suspect(quarantine.AwaitVerdict(s.book.VerdictBy(f), now, deadline))
-		return t, nil
+		state.Suspect(quarantine.AwaitVerdict(s.quarantine.VerdictBy(f), now, deadline))
+		return state, nil
 	}
-	if name, due := s.book.DueTrial(f, nil, now); due {
+	if name, due := s.quarantine.DueTrial(f, nil, now); due {
 		if claim, err := quarantine.ParseName(name); err == nil {
-			s.book.LearnClaim(claim, now)
-			t.Suspect(time.Time{})
-			t.probation = true
-			return t, nil
+			s.quarantine.LearnClaim(claim, now)
+			state.Suspect(time.Time{})
+			state.probation = true
+			return state, nil
 		}
 	}
-	return t, NotRun(ask, callerpb.Reason_BARRED, s.barredText(f), quarantine.FirstProbation)
+	return state, NotRun(req, callerpb.Reason_BARRED, s.barredMessage(f), quarantine.FirstProbation)
 }
 
-// tell wakes the queries under way where a content has been barred, for whatever reason: each
-// that goes on may end more leaves. The lock is held.
-func (s *Service) tell() {
-	for _, c := range s.book.Changes() {
+// signalBarred wakes all running queries if a content became barred, since each that
+// continues may crash more leaves. s.mu must be held.
+func (s *Service) signalBarred() {
+	for _, c := range s.quarantine.Changes() {
 		if c.Now.Standing == quarantine.Barred {
-			close(s.barred)
-			s.barred = make(chan struct{})
+			close(s.barredChanged)
+			s.barredChanged = make(chan struct{})
 		}
 	}
 }
 
-// heardNews looks up whether the content of the query is what was barred. The lock is held.
-func (q *query) heardNews() {
-	q.trial.news = q.service.barred
-	if !q.trial.probation && q.service.book.Standing(fingerprint(q.ask)) == quarantine.Barred {
-		q.trial.barred = true
+// recheckBarred checks whether the query's own content was barred. s.mu must be held.
+func (q *query) recheckBarred() {
+	q.quarantine.barredChanged = q.service.barredChanged
+	if !q.quarantine.probation && q.service.quarantine.Standing(fingerprint(q.req)) == quarantine.Barred {
+		q.quarantine.barred = true
 	}
 }
 
-func (s *Service) barredText(f quarantine.Fingerprint) string {
-	return fmt.Sprintf("%d leaves ended under this query, fingerprint %v: mend the leaves; it is tried again after a while", s.book.Summary(f).Ended, f)
+// barredMessage returns the message of a reply with reason BARRED. s.mu must be held.
+func (s *Service) barredMessage(f quarantine.Fingerprint) string {
+	return fmt.Sprintf("%d leaves crashed while running this query (fingerprint %v): fix the leaves; the query is tried again after a while", s.quarantine.Summary(f).Ended, f)
 }
 
-// hasEnded asks a leaf at which a call broke off whether it is still the process that it was.
-func (s *Service) hasEnded(ctx context.Context, address string) bool {
+// hasCrashed asks a leaf whose call failed for its incarnation and reports whether its
+// process ended. A leaf that does not reply counts as crashed.
+func (s *Service) hasCrashed(ctx context.Context, address string) bool {
 	s.mu.Lock()
 	known := s.incarnations[address]
 	s.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), witnessTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashCheckTimeout)
 	defer cancel()
 	reply, err := s.client.Describe(ctx, address)
 	return err != nil || known != 0 && reply.GetStatus().GetIncarnation() > known
 }
 
-// hold reports whether an attempt has to wait for a trial, and keeps it if so; otherwise it is
-// the trial, where there is to be one. None begins beside other attempts of the query: its end
-// would tell nothing, and cost the others of the service a leaf.
-func (q *query) hold(shard int, kind obs.Attempt, now time.Time) bool {
-	t := &q.trial
-	if !t.OnTrial() || q.absolved() {
+// holdForTrial reports whether an attempt must wait for a trial and then holds it.
+// Otherwise, if a trial is needed, the attempt becomes the trial. A trial never starts
+// beside other attempts of the query: a crash would prove nothing and cost a leaf.
+func (q *query) holdForTrial(shard int, kind obs.Attempt, now time.Time) bool {
+	state := &q.quarantine
+	if !state.OnTrial() || q.cleared() {
 		return false
 	}
-	if t.shard == noTrial && len(q.running) == 0 && !now.Before(t.TrialFrom()) {
-		t.shard = shard
+	if state.trialShard == noTrialShard && len(q.running) == 0 && !now.Before(state.TrialFrom()) {
+		state.trialShard = shard
 		return false
 	}
-	t.held = append(t.held, heldAttempt{shard, kind})
-	if now.Before(t.TrialFrom()) {
-		q.look(now.Add(verdictStep))
+	state.held = append(state.held, heldAttempt{shard, kind})
+	if now.Before(state.TrialFrom()) {
+		q.wakeBy(now.Add(trialPollInterval))
 	}
 	return true
 }
 
-// absolved reports whether the content was served to another query while this one waited for its
-// trial.
-func (q *query) absolved() bool {
-	if q.reached == 0 && !q.trial.probation && q.service.book.Standing(fingerprint(q.ask)) == quarantine.Clear {
-		q.trial.Absolve()
+// cleared reports whether the query needs no trial, in particular because another query
+// with the same content was served while this one waited.
+func (q *query) cleared() bool {
+	if q.maybeExecuted == 0 && !q.quarantine.probation && q.service.quarantine.Standing(fingerprint(q.req)) == quarantine.Clear {
+		q.quarantine.Absolve()
 	}
-	return !q.trial.OnTrial()
+	return !q.quarantine.OnTrial()
 }
 
-// releaseHeld sends the attempts that no longer have to wait: all where the query is not on
-// trial, else the next one where none is.
-func (q *query) releaseHeld(now time.Time) {
-	held := q.trial.held
-	q.trial.held = nil
+// restartHeld starts the held attempts again. While the query is on trial, holdForTrial
+// lets one through and holds the others.
+func (q *query) restartHeld(now time.Time) {
+	held := q.quarantine.held
+	q.quarantine.held = nil
 	for _, h := range held {
 		if q.gather.Open(h.shard) {
-			q.want(h.shard, h.kind, now)
+			q.startAttempt(h.shard, h.kind, now)
 		}
 	}
 }
 
-// leafEnded notes that a leaf ended with an attempt.
-func (q *query) leafEnded(a *attempt, now time.Time) {
-	stop, told := q.trial.Ended(quarantine.End{Server: fmt.Sprintf("%s#%d", a.address, q.service.incarnations[a.address]), OnTrial: a.onTrial}, now)
-	if stop {
+// onLeafCrash records a leaf crash during an attempt. When the query has to go on
+// trial, its other attempts are canceled.
+func (q *query) onLeafCrash(a *attempt, now time.Time) {
+	isolate, report := q.quarantine.Ended(quarantine.End{Server: fmt.Sprintf("%s#%d", a.address, q.service.incarnations[a.address]), OnTrial: a.onTrial}, now)
+	if isolate {
 		for _, other := range q.running {
 			other.cancel()
 		}
-		q.tellEnds(now) // A repeat may come before the trial is over.
+		q.recordCrashes(now) // The content may be requested again before the trial ends.
 	}
-	if told {
-		q.trial.Wait(time.Duration(q.service.rng.Int64N(int64(quarantine.TrialSpread))))
-		q.tellEnds(now)
+	if report {
+		q.quarantine.Wait(time.Duration(q.service.rng.Int64N(int64(quarantine.TrialSpread))))
+		q.recordCrashes(now)
 	}
 }
 
-// tellEnds notes the leaves that ended under a query that none served since, for later ones.
-func (q *query) tellEnds(now time.Time) {
-	seen, any := q.trial.Tell()
-	if !any {
+// recordCrashes adds the crashes that no leaf has refuted by serving the query to the
+// service's quarantine, for later queries.
+func (q *query) recordCrashes(now time.Time) {
+	record, ok := q.quarantine.Tell()
+	if !ok {
 		return
 	}
-	seen.What = "query of desk " + q.ask.GetDesk()
-	f := fingerprint(q.ask)
-	q.service.book.Note(f, seen, now)
-	q.service.tell()
-	q.trial.barred = q.service.book.Standing(f) == quarantine.Barred
+	record.What = "query of desk " + q.req.GetDesk()
+	f := fingerprint(q.req)
+	q.service.quarantine.Note(f, record, now)
+	q.service.signalBarred()
+	q.quarantine.barred = q.service.quarantine.Standing(f) == quarantine.Barred
 }
 
-// served notes that a leaf served the query.
-func (q *query) served(now time.Time) {
-	if q.trial.Served() {
-		q.service.book.Clear(fingerprint(q.ask), now)
-		q.service.tell()
+// onServed records that a leaf served the query.
+func (q *query) onServed(now time.Time) {
+	if q.quarantine.Served() {
+		q.service.quarantine.Clear(fingerprint(q.req), now)
+		q.service.signalBarred()
 	}
-	q.trial.shard = noTrial
+	q.quarantine.trialShard = noTrialShard
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -30,13 +30,13 @@
 TestInvariantCoverage@scatter/gather.go@s/if len\(part.Rows\) != part.RowCount \{/if false {/@a part cut short is merged
 TestInvariantCoverage@scatter/gather.go@s/if s.merged != nil \{/if s.merged != nil || s.missing == Refused {/; s/result.Rows = append\(result.Rows, s.merged.Rows...\)/if s.merged != nil { result.Rows = append(result.Rows, s.merged.Rows...) }/@a shard that was sent to is called contributed
 TestInvariantCorrelation@internal/home/dispatch.go@s/reply.GetAttemptId\(\) != a.id/false/@a reply to another attempt is taken
-TestInvariantNotRun@internal/home/query.go@s/\tq.reached\+\+\n//@attempts that were sent are not counted
-TestInvariantNotRun@internal/home/reply.go@s/case leaf.NotSent\(e.err\):/case e.err != nil:/@every failed attempt is taken as not sent
+TestInvariantNotRun@internal/home/query.go@s/\tq.maybeExecuted\+\+\n//@attempts that were sent are not counted
+TestInvariantNotRun@internal/home/reply.go@s/case leaf.NotSent\(r.err\):/case r.err != nil:/@every failed attempt is taken as not sent
 TestInvariantNotRun@internal/entry/route.go@s/if mayHaveRun && reply.GetOutcome\(\) == callerpb.Outcome_NOT_RUN/if false/@a home lost before is forgotten
 TestInvariantNotRun@internal/entry/route.go@s/if len\(ask.GetTicket\(\)\) > 0 \{\n\t\treturn home.Unknown/if false {\n\t\treturn home.Unknown/@a resend that is refused is called not run
 TestInvariantAtMostOnce@once/ledger.go@s/if t.Incarnation != l.incarnation \{/if t.Incarnation == 0 {/; s/!hmac.Equal\(t.MAC, l.key.sign\(t\)\)/!hmac.Equal(t.MAC, t.MAC)/@a ticket is redeemed by a later incarnation
 TestInvariantAtMostOnce@once/ledger.go@s/(l.outcomes\[t.Sequence\] = e)/$1\n\tl.redeemed = map[uint64]*[pageBits \/ 64]uint64{}\n\tdelete(l.outcomes, t.Sequence)/@a redeemed ticket is forgotten
-TestInvariantAtMostOnce@internal/home/reply.go@s/if q.once && q.reached > 0 \{/if false {/@a lost attempt is sent again
+TestInvariantAtMostOnce@internal/home/reply.go@s/if q.notRepeatable && q.maybeExecuted > 0 \{/if false {/@a lost attempt is sent again
 TestInvariantDraining@internal/home/service.go@s/l.Leaving = leaving && /l.Leaving = false && leaving && /@facts about leaving leaves are not used
 TestInvariantDraining@drain/registry.go@s/known.incarnation == 0 \|\| incarnation <= known.incarnation/known.incarnation == 0 || incarnation <= known.incarnation || address != ""/; s/FactTTL = 30/FactTTL = 300/@a leaf that started anew stays out
 TestInvariantGracefulStop@internal/entry/view.go@s/m.State == member.Alive \{/m.State != member.Dead {/@duties stay on hosts that leave
@@ -127,7 +127,7 @@
 TestStanding@quarantine/standing.go@s/if !c.served.IsZero\(\) \{\n\t\ts.Standing = min/if false {\n\t\ts.Standing = min/@what was served is barred all the same
 TestBarThatBeginsWithTimeIsNews@internal/guard/guard.go@s/g.tell\("time"\)/g.known.Store(int64(g.book.Len()))/@a bar that begins with time is told to nobody
 TestBarThatBeginsAsAnotherEndsIsNews@quarantine/standing.go@s/\n\tb.settleExplained\([a-z.]+\)//g@a bar that begins as another ends is told to nobody
-TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.heardNews\(\)/q.trial.news = nil/@queries under way hear of no bar
+TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.recheckBarred\(\)/q.quarantine.barredChanged = nil/@queries under way hear of no bar
 TestTrialsLeaveShardsEnoughToServeOthers@internal/gateway/trial.go@s/running := q.running\(\)/running := t.shard >= 0 && q.state.Running(t.shard) > 0/@a trial begins beside other calls
 TestQueryOfWhichNothingCameSendsNoCopies@internal/gateway/attempt.go@s/need.Hedge && q.holdsCopies\(now\)/false/@copies go out before any shard has answered
 TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.tellEnds\(now\) \/\/ A repeat.*//@others hear when the trial is over
