--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -15,55 +15,60 @@
 	"github.com/mallowgap/mallowgap/member"
 )
 
-// sweepEvery is the interval at which suspicions and facts end.
-const sweepEvery = 100 * time.Millisecond
+// sweepInterval is how often expired suspicions and leaving facts are removed.
+const sweepInterval = 100 * time.Millisecond
 
-// control owns the control state. All methods but view and do run in the
-// control loop.
+// control owns the control state. Its methods must run in the control loop, except
+// view, do and homeOf.
 type control struct {
 	log      zerolog.Logger
 	commands chan func()
 	stopped  chan struct{}
 	current  atomic.Pointer[View]
 
-	members  *member.Table
-	holder   *config.Holder
-	draining *drain.Registry
-	services map[string]*home.Service
-	// newService makes the home of a service.
+	members    *member.Table
+	holder     *config.Holder
+	draining   *drain.Registry
+	services   map[string]*home.Service
 	newService func(name string) *home.Service
-	// adopted is called after a new configuration was put in force.
-	adopted func()
-
-	synced     bool
-	stopping   bool
-	dirty      bool
-	version    uint64
-	placed     map[string]*Placement
-	placedFor  uint64
-	placedConf uint64
+	// onConfigChange is called after a new configuration was applied. It must not
+	// block.
+	onConfigChange func()
+
+	// synced is set once this host knows the current configuration and the members.
+	synced   bool
+	stopping bool
+	// dirty forces a publish after the running command.
+	dirty bool
+	// publishedVersion is the version of the member table in the current View.
+	publishedVersion uint64
+	// placements were computed for placementsVersion of the member table and
+	// placementsRevision of the configuration.
+	placements         map[string]*Placement
+	placementsVersion  uint64
+	placementsRevision uint64
 }
 
 func newControl(self member.Fact, suspicion time.Duration, log zerolog.Logger) *control {
 	c := &control{
-		log:      log,
-		commands: make(chan func(), 64),
-		stopped:  make(chan struct{}),
-		members:  member.NewTable(self, member.Settings{Suspicion: suspicion}, rand.New(rand.NewPCG(self.Incarnation, 1))),
-		holder:   config.NewHolder(),
-		draining: drain.NewRegistry(),
-		services: map[string]*home.Service{},
-		adopted:  func() {},
+		log:            log,
+		commands:       make(chan func(), 64),
+		stopped:        make(chan struct{}),
+		members:        member.NewTable(self, member.Settings{Suspicion: suspicion}, rand.New(rand.NewPCG(self.Incarnation, 1))),
+		holder:         config.NewHolder(),
+		draining:       drain.NewRegistry(),
+		services:       map[string]*home.Service{},
+		onConfigChange: func() {},
 	}
 	c.publish()
 	return c
 }
 
-// view returns the published state.
+// view returns the current View.
 func (c *control) view() *View { return c.current.Load() }
 
-// do runs fn in the control loop and waits for it. It reports false if the
-// loop has ended.
+// do runs fn in the control loop and waits for it. It returns false if the loop has
+// ended.
 func (c *control) do(fn func()) bool {
 	done := make(chan struct{})
 	select {
@@ -79,21 +84,21 @@
 	}
 }
 
-// run is the control loop.
+// run is the control loop. It ends with ctx.
 func (c *control) run(ctx context.Context) {
 	defer close(c.stopped)
-	sweep := time.NewTicker(sweepEvery)
-	defer sweep.Stop()
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case fn := <-c.commands:
 			fn()
-		case <-sweep.C:
+		case <-ticker.C:
 			c.sweep(time.Now())
 		}
-		if c.dirty || c.members.Version() != c.version {
+		if c.dirty || c.members.Version() != c.publishedVersion {
 			c.publish()
 		}
 	}
@@ -108,10 +113,10 @@
 	}
 }
 
-// publish makes a new View of the state and puts it in force at the homes.
+// publish replaces the View with one of the current state and reconfigures the homes.
 func (c *control) publish() {
 	c.dirty = false
-	c.version = c.members.Version()
+	c.publishedVersion = c.members.Version()
 	conf := c.holder.Config()
 	v := &View{
 		Revision: c.holder.Revision(),
@@ -120,8 +125,8 @@
 		Synced:   c.synced,
 		Ready:    c.synced && c.holder.Revision() > 0 && !c.stopping,
 		Stopping: c.stopping,
-		services: c.placement(conf),
-		ranks:    rankDesks(conf),
+		services: c.currentPlacements(conf),
+		ranks:    deskRanks(conf),
 		leaving:  map[string]uint64{},
 	}
 	for _, f := range c.draining.All(time.Now()) {
@@ -134,16 +139,19 @@
 	c.configureHomes(v)
 }
 
-// placement is computed anew only when members or configuration changed.
-func (c *control) placement(conf *configpb.Config) map[string]*Placement {
-	if c.placed == nil || c.placedFor != c.members.Version() || c.placedConf != conf.GetRevision() {
-		c.placed = place(conf, c.members.Members(), c.members.Self().Host)
-		c.placedFor = c.members.Version()
-		c.placedConf = conf.GetRevision()
+// currentPlacements returns the placements, computed again if the members or the
+// configuration changed.
+func (c *control) currentPlacements(conf *configpb.Config) map[string]*Placement {
+	if c.placements == nil || c.placementsVersion != c.members.Version() || c.placementsRevision != conf.GetRevision() {
+		c.placements = placeServices(conf, c.members.Members(), c.members.Self().Host)
+		c.placementsVersion = c.members.Version()
+		c.placementsRevision = conf.GetRevision()
 	}
-	return c.placed
+	return c.placements
 }
 
+// configureHomes configures the homes at this host, including those of services that
+// have moved away and may still have queries.
 func (c *control) configureHomes(v *View) {
 	for name, p := range v.services {
 		if p.Index < 0 && c.services[name] == nil {
@@ -153,17 +161,19 @@
 	}
 }
 
+// service returns the home of a service at this host and creates it if needed.
 func (c *control) service(name string) *home.Service {
 	s := c.services[name]
 	if s == nil {
 		s = c.newService(name)
 		c.services[name] = s
-		c.log.Info().Str("service", name).Msg("carrying service")
+		c.log.Info().Str("service", name).Msg("serving as home of service")
 	}
 	return s
 }
 
-// homeOf returns the home of a service at this host, made if there is none.
+// homeOf returns the configured home of a service at this host, created if needed. It
+// returns false if the service is not in the configuration or the loop has ended.
 func (c *control) homeOf(name string) (*home.Service, bool) {
 	var s *home.Service
 	c.do(func() {
@@ -171,41 +181,41 @@
 		if !ok {
 			return
 		}
-		fresh := c.services[name] == nil
+		created := c.services[name] == nil
 		s = c.service(name)
-		if fresh {
+		if created {
 			s.Configure(p.Spec, p.share(), c.view().Leaving)
 		}
 	})
 	return s, s != nil
 }
 
-// offer puts a configuration in force if it is newer.
-func (c *control) offer(head *configpb.Head, parts config.Parts) error {
-	taken, err := c.holder.Offer(head, parts)
+// applyConfig applies a configuration if it is newer than the current one.
+func (c *control) applyConfig(head *configpb.Head, parts config.Parts) error {
+	applied, err := c.holder.Offer(head, parts)
 	if err != nil {
 		return err
 	}
-	if taken {
+	if applied {
 		c.log.Info().Uint64("revision", head.GetRevision()).Msg("configuration in force")
 		c.dirty = true
-		c.adopted()
+		c.onConfigChange()
 	}
 	return nil
 }
 
-// learnLeaving takes in that a leaf is leaving.
-func (c *control) learnLeaving(f drain.Fact, from string) {
+// learnLeaving records that a leaf is leaving.
+func (c *control) learnLeaving(f drain.Fact, source string) {
 	if c.draining.Learn(f, time.Now()) {
-		c.log.Info().Str("leaf", f.Address).Str("from", from).Msg("leaf is leaving")
+		c.log.Info().Str("leaf", f.Address).Str("from", source).Msg("leaf is leaving")
 		c.dirty = true
 	}
 }
 
-// learnStarted takes in that a leaf started anew.
-func (c *control) learnStarted(address string, incarnation uint64) {
+// learnRestarted records that a leaf runs as the given incarnation and is not leaving.
+func (c *control) learnRestarted(address string, incarnation uint64) {
 	if c.draining.Started(address, incarnation) {
-		c.log.Info().Str("leaf", address).Msg("leaf is back")
+		c.log.Info().Str("leaf", address).Msg("leaf has restarted")
 		c.dirty = true
 	}
 }
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -32,27 +32,28 @@
 )
 
 var (
-	errStopped    = errors.New("the entry host has stopped: ask another")
-	errWrongReply = errors.New("the home replied to another request: check that all entry hosts run the same version")
+	errStopped    = errors.New("the entry host has stopped: call another entry host")
+	errWrongReply = errors.New("the home returned the reply to another request: check that all entry hosts run the same version")
 )
 
-// ErrCut is returned by Run when a planned stop cut requests off.
+// ErrCut is returned by Run if a planned stop cut off requests.
 var ErrCut = errors.New("requests were cut off: raise drain_timeout in [shutdown]")
 
-// closeGrace bounds the wait for connections to close once nothing is in flight.
-const closeGrace = 2 * time.Second
+// httpShutdownTimeout bounds the wait for open HTTP connections at the end of a stop.
+const httpShutdownTimeout = 2 * time.Second
 
-// Edges are the adapters that a daemon works through.
+// Edges holds the external dependencies of a daemon.
 type Edges struct {
 	Store platform.Store
 	Hosts platform.HostList
 	Leafs leaf.Client
 	Peers peer.Client
-	// Identity is nil where TLS is off.
+	// Identity is nil if TLS is disabled.
 	Identity *secure.Identity
 }
 
-// Daemon is one entry host.
+// Daemon is an entry host: it routes requests to the homes of their services and is
+// itself the home of some.
 type Daemon struct {
 	name        string
 	incarnation uint64
@@ -60,20 +61,22 @@
 	log         zerolog.Logger
 	store       platform.Store
 	hosts       platform.HostList
-	leafs       leaf.Client
+	leaves      leaf.Client
 	peers       peer.Client
 	identity    *secure.Identity
 
-	control  *control
-	ledger   *once.Ledger
-	homes    sync.Map
-	inFlight requests
-	heard    hearing
-	ctx      context.Context
+	control *control
+	ledger  *once.Ledger
+	// homes caches the home of each service by name, as *home.Service.
+	homes       sync.Map
+	inFlight    requestCounter
+	lastReplies replyTimes
+	// ctx is the context of Start; background work ends with it.
+	ctx context.Context
 }
 
-// New returns a daemon; Start must follow. incarnation must be higher at each
-// start of the host.
+// New returns a daemon; Start must be called before it serves. incarnation must
+// increase with each start of the host.
 func New(settings *settingspb.Entry, edges Edges, incarnation uint64, log zerolog.Logger) *Daemon {
 	d := &Daemon{
 		name:        settings.GetHost().GetName(),
@@ -82,7 +85,7 @@
 		log:         log,
 		store:       edges.Store,
 		hosts:       edges.Hosts,
-		leafs:       edges.Leafs,
+		leaves:      edges.Leafs,
 		peers:       edges.Peers,
 		identity:    edges.Identity,
 		ledger:      once.NewLedger(settings.GetHost().GetName(), incarnation),
@@ -93,10 +96,11 @@
 	}
 	d.control = newControl(self, settings.GetMembership().GetSuspicion().AsDuration(), log)
 	d.control.newService = d.newService
-	d.control.adopted = func() { go d.push(d.ctx) }
+	d.control.onConfigChange = func() { go d.pushUpdates(d.ctx) }
 	return d
 }
 
+// newService returns the home of a service, configured from the traffic settings.
 func (d *Daemon) newService(name string) *home.Service {
 	traffic := d.settings.GetTraffic()
 	order, selection := admission.ByClass, replica.Observed
@@ -106,7 +110,7 @@
 	if traffic.GetSelection() == "random" {
 		selection = replica.Random
 	}
-	return home.NewService(name, d.leafs, home.Options{
+	return home.NewService(name, d.leaves, home.Options{
 		Queue:         admission.Settings{Order: order, Length: int(traffic.GetQueueLength()), FloorShare: traffic.GetFloorShare()},
 		Selection:     selection,
 		Hedging:       traffic.GetHedging(),
@@ -117,46 +121,47 @@
 			d.control.do(func() {
 				d.control.learnLeaving(drain.Fact{Address: address, Incarnation: incarnation, TTL: drain.FactTTL}, "the leaf itself")
 			})
-			d.push(d.ctx)
+			d.pushUpdates(d.ctx)
 		},
 		Seen: func(address string, incarnation uint64) {
-			d.control.do(func() { d.control.learnStarted(address, incarnation) })
+			d.control.do(func() { d.control.learnRestarted(address, incarnation) })
 		},
 		Seed: d.incarnation,
 	})
 }
 
-// Start starts the control loop and the duties. They end with ctx.
+// Start starts the control loop and the background tasks. They stop when ctx ends.
 func (d *Daemon) Start(ctx context.Context) {
 	d.ctx = ctx
 	go d.control.run(ctx)
-	go d.start(ctx)
-	go d.heartbeats(ctx)
-	go d.watch(ctx)
-	go d.pollHosts(ctx)
-	go d.announce(ctx, platformpb.HostState_LIVE)
+	go d.bootstrap(ctx)
+	go d.heartbeatLoop(ctx)
+	go d.watchStore(ctx)
+	go d.pollHostList(ctx)
+	go d.announceState(ctx, platformpb.HostState_LIVE)
 }
 
-// Ready reports whether this host wants new requests.
+// Ready reports whether this host accepts new requests.
 func (d *Daemon) Ready() bool { return d.control.view().Ready }
 
-// View returns the published control state.
+// View returns the current control state.
 func (d *Daemon) View() *View { return d.control.view() }
 
-// Leave begins a planned stop: the host list, the balancer and the members are
-// told, and duties move to others. Requests that arrive are still served.
+// Leave begins a planned stop: it announces the stop to the host list, the load
+// balancer (by Ready) and the members, and other hosts take over this host's services
+// and roles. Requests that still arrive are served.
 func (d *Daemon) Leave(ctx context.Context) {
 	d.control.do(func() {
 		d.control.stopping = true
 		d.control.dirty = true
 		d.control.members.Leave()
 	})
-	d.push(ctx)
-	go d.announce(ctx, platformpb.HostState_HOST_LEAVING)
+	d.pushUpdates(ctx)
+	go d.announceState(ctx, platformpb.HostState_HOST_LEAVING)
 }
 
-// Drained waits until no request is in flight and returns how many still are
-// when ctx ends.
+// Drained waits until no request is in flight. If ctx ends first, it returns the number
+// of requests that still are.
 func (d *Daemon) Drained(ctx context.Context) int {
 	for {
 		n := d.inFlight.Count()
@@ -171,8 +176,8 @@
 	}
 }
 
-// Run serves on the listeners of the settings until stop is closed, then stops
-// as planned. It returns ErrCut if requests were cut off.
+// Run serves on the configured listeners until stop is closed and then performs a
+// planned stop. It returns ErrCut if requests were cut off.
 func (d *Daemon) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -190,43 +195,44 @@
 	return d.finish(s)
 }
 
-// finish closes the listeners to new requests, waits for those in flight and
-// closes.
+// finish stops accepting calls, waits up to the drain timeout for requests in flight
+// and closes the servers.
 func (d *Daemon) finish(s *servers) error {
 	timeout := d.settings.GetShutdown().GetDrainTimeout().AsDuration()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	stopped := make(chan struct{})
 	go func() {
-		s.callers.GracefulStop()
+		s.callerServer.GracefulStop()
 		close(stopped)
 	}()
 	select {
 	case <-stopped:
 	case <-ctx.Done():
 	}
-	cut := d.Drained(ctx)
+	cutOff := d.Drained(ctx)
 	s.close()
-	d.log.Info().Int("cut", cut).Msg("planned stop ended")
-	if cut > 0 {
-		return fmt.Errorf("%w (%d)", ErrCut, cut)
+	d.log.Info().Int("cut", cutOff).Msg("planned stop ended")
+	if cutOff > 0 {
+		return fmt.Errorf("%w (%d)", ErrCut, cutOff)
 	}
 	return nil
 }
 
-// servers are the listeners of an entry host.
+// servers holds the servers of an entry host and their listeners.
 type servers struct {
-	callers    *grpc.Server
-	callersLis net.Listener
-	peersLis   net.Listener
-	peerServer *drpcserver.Server
-	http       *http.Server
-	httpLis    net.Listener
-	ctx        context.Context
-	stopPeers  context.CancelFunc
-	log        zerolog.Logger
+	callerServer   *grpc.Server
+	callerListener net.Listener
+	peerListener   net.Listener
+	peerServer     *drpcserver.Server
+	httpServer     *http.Server
+	httpListener   net.Listener
+	ctx            context.Context
+	stopPeers      context.CancelFunc
+	log            zerolog.Logger
 }
 
+// listen opens the listeners and registers the services, without serving yet.
 func (d *Daemon) listen(ctx context.Context) (*servers, error) {
 	s := &servers{log: d.log}
 	var err error
@@ -235,77 +241,77 @@
 		address string
 		key     string
 	}{
-		{&s.callersLis, d.settings.GetListen().GetCallers(), "callers"},
-		{&s.peersLis, d.settings.GetListen().GetPeers(), "peers"},
-		{&s.httpLis, d.settings.GetListen().GetHttp(), "http"},
+		{&s.callerListener, d.settings.GetListen().GetCallers(), "callers"},
+		{&s.peerListener, d.settings.GetListen().GetPeers(), "peers"},
+		{&s.httpListener, d.settings.GetListen().GetHttp(), "http"},
 	} {
 		if *l.target, err = net.Listen("tcp", l.address); err != nil {
 			return nil, fmt.Errorf("[listen] %s: %w: choose a free address of this host", l.key, err)
 		}
 	}
-	s.peersLis = d.identity.Listener(s.peersLis, true)
-	s.httpLis = d.identity.Listener(s.httpLis, false)
-	s.callers = grpc.NewServer(
+	s.peerListener = d.identity.Listener(s.peerListener, true)
+	s.httpListener = d.identity.Listener(s.httpListener, false)
+	s.callerServer = grpc.NewServer(
 		grpc.Creds(d.identity.ServerCredentials()),
 		grpc.MaxRecvMsgSize(int(d.settings.GetListen().GetMaxMessageBytes())),
-		grpc.StatsHandler(malformedCounter{}),
+		grpc.StatsHandler(refusedCallCounter{}),
 	)
-	callerpb.RegisterQueryServer(s.callers, callers{Daemon: d})
-	operatorpb.RegisterOperatorServer(s.callers, d.Operators())
+	callerpb.RegisterQueryServer(s.callerServer, queryServer{Daemon: d})
+	operatorpb.RegisterOperatorServer(s.callerServer, d.Operators())
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterPeer(mux, d); err != nil {
 		return nil, fmt.Errorf("register the peer protocol: %w", err)
 	}
 	s.peerServer = drpcserver.New(mux)
 	s.ctx, s.stopPeers = context.WithCancel(ctx)
-	s.http = &http.Server{Handler: d.httpHandler(), ReadHeaderTimeout: 5 * time.Second}
+	s.httpServer = &http.Server{Handler: d.httpHandler(), ReadHeaderTimeout: 5 * time.Second}
 	return s, nil
 }
 
 func (s *servers) serve() {
-	go func() { _ = s.callers.Serve(s.callersLis) }()
-	go func() { _ = s.peerServer.Serve(s.ctx, s.peersLis) }()
-	go func() { _ = s.http.Serve(s.httpLis) }()
+	go func() { _ = s.callerServer.Serve(s.callerListener) }()
+	go func() { _ = s.peerServer.Serve(s.ctx, s.peerListener) }()
+	go func() { _ = s.httpServer.Serve(s.httpListener) }()
 }
 
 func (s *servers) close() {
-	s.callers.Stop()
+	s.callerServer.Stop()
 	s.stopPeers()
-	_ = s.peersLis.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), closeGrace)
+	_ = s.peerListener.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 	defer cancel()
-	_ = s.http.Shutdown(ctx)
+	_ = s.httpServer.Shutdown(ctx)
 }
 
-// callers serves the desks' calls.
-type callers struct {
+// queryServer implements the Query service for desks.
+type queryServer struct {
 	callerpb.UnimplementedQueryServer
 	*Daemon
 }
 
-// Ask runs one request.
-func (c callers) Ask(ctx context.Context, ask *callerpb.AskRequest) (*callerpb.AskReply, error) {
-	return c.Daemon.Ask(ctx, ask)
+// Ask implements callerpb.QueryServer.
+func (s queryServer) Ask(ctx context.Context, req *callerpb.AskRequest) (*callerpb.AskReply, error) {
+	return s.Daemon.Ask(ctx, req)
 }
 
-// requests counts the requests in flight.
-type requests struct {
+// requestCounter counts the requests in flight. It is safe for concurrent use.
+type requestCounter struct {
 	mu sync.Mutex
 	n  int
 }
 
-// Add adds to the count.
-func (r *requests) Add(n int) {
+// Add adds n to the count.
+func (r *requestCounter) Add(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.n += n
 }
 
-// Done takes one from the count.
-func (r *requests) Done() { r.Add(-1) }
+// Done subtracts one from the count.
+func (r *requestCounter) Done() { r.Add(-1) }
 
-// Count returns the count.
-func (r *requests) Count() int {
+// Count returns the number of requests in flight.
+func (r *requestCounter) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.n
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -12,12 +12,11 @@
 	"github.com/mallowgap/mallowgap/member"
 )
 
-// pushTo is the number of members that are told at once about a new revision
-// or a leaving leaf.
-const pushTo = 3
+// pushFanout is the number of members that a change is sent to at once.
+const pushFanout = 3
 
-// heartbeats sends a heartbeat each interval until ctx ends.
-func (d *Daemon) heartbeats(ctx context.Context) {
+// heartbeatLoop probes one member per heartbeat interval until ctx ends.
+func (d *Daemon) heartbeatLoop(ctx context.Context) {
 	ticker := time.NewTicker(d.settings.GetMembership().GetHeartbeat().AsDuration())
 	defer ticker.Stop()
 	for {
@@ -30,18 +29,19 @@
 		var found bool
 		d.control.do(func() { target, found = d.control.members.Probe() })
 		if found {
-			go d.heartbeat(ctx, target, false)
+			go d.sendHeartbeat(ctx, target, false)
 		}
 	}
 }
 
-// heartbeat probes one member and exchanges facts with it.
-func (d *Daemon) heartbeat(ctx context.Context, target member.Fact, wantAll bool) bool {
+// sendHeartbeat probes a member, exchanges facts with it and reports whether it
+// replied. With fullTable, it asks for all facts of the member.
+func (d *Daemon) sendHeartbeat(ctx context.Context, target member.Fact, fullTable bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.GetMembership().GetHeartbeatTimeout().AsDuration())
 	defer cancel()
 	var message *peerpb.GossipMessage
 	d.control.do(func() {
-		message = d.gossip()
+		message = d.gossipMessage()
 		if claim, ok := d.control.members.Suspicion(target.Host); ok {
 			message.Members = append(message.Members, toProto(claim))
 		}
@@ -49,7 +49,7 @@
 	if message == nil {
 		return false
 	}
-	message.WantAll = wantAll
+	message.WantAll = fullTable
 	reply, err := d.peers.Gossip(ctx, target.Address, message)
 	if err != nil {
 		obs.CountHeartbeat("failed")
@@ -57,16 +57,17 @@
 		return false
 	}
 	obs.CountHeartbeat("answered")
-	d.heard.note(target.Host)
-	d.takeGossip(reply, wantAll)
+	d.lastReplies.record(target.Host)
+	d.mergeGossip(reply, fullTable)
 	if reply.GetRevision() > d.control.view().Revision {
-		go d.pull(target.Address)
+		go d.pullConfig(target.Address)
 	}
 	return true
 }
 
-// gossip makes the message of this host. It runs in the control loop.
-func (d *Daemon) gossip() *peerpb.GossipMessage {
+// gossipMessage returns the facts that this host passes on. It must run in the control
+// loop.
+func (d *Daemon) gossipMessage() *peerpb.GossipMessage {
 	c := d.control
 	message := &peerpb.GossipMessage{From: c.members.Self().Host, Revision: c.holder.Revision()}
 	for _, f := range c.members.Facts() {
@@ -80,16 +81,16 @@
 	return message
 }
 
-// takeGossip takes in the facts of a message. Those of a whole table are not
-// passed on.
-func (d *Daemon) takeGossip(message *peerpb.GossipMessage, whole bool) {
+// mergeGossip merges the facts of a message. Those of a full table are not passed on to
+// others.
+func (d *Daemon) mergeGossip(message *peerpb.GossipMessage, fullTable bool) {
 	facts := make([]member.Fact, 0, len(message.GetMembers()))
 	for _, f := range message.GetMembers() {
 		facts = append(facts, fromProto(f))
 	}
 	d.control.do(func() {
 		now := time.Now()
-		if whole {
+		if fullTable {
 			d.control.members.Adopt(facts, now)
 		} else {
 			d.control.members.Merge(facts, now)
@@ -104,12 +105,12 @@
 	})
 }
 
-// Gossip answers the heartbeat of another host.
+// Gossip handles a heartbeat of another host and replies with the facts of this one.
 func (d *Daemon) Gossip(_ context.Context, message *peerpb.GossipMessage) (*peerpb.GossipMessage, error) {
-	d.takeGossip(message, false)
+	d.mergeGossip(message, false)
 	var reply *peerpb.GossipMessage
 	ok := d.control.do(func() {
-		reply = d.gossip()
+		reply = d.gossipMessage()
 		if message.GetWantAll() {
 			reply.Members = reply.Members[:0]
 			for _, f := range d.control.members.All() {
@@ -125,13 +126,14 @@
 	}
 	v := d.control.view()
 	if from, known := v.Member(message.GetFrom()); known && message.GetRevision() > v.Revision {
-		go d.pull(from.Address)
+		go d.pullConfig(from.Address)
 	}
 	return reply, nil
 }
 
-// push tells a few members at once what is new here.
-func (d *Daemon) push(ctx context.Context) {
+// pushUpdates sends recent changes to a few random members without waiting for the next
+// heartbeat.
+func (d *Daemon) pushUpdates(ctx context.Context) {
 	var others []member.Fact
 	v := d.control.view()
 	for _, m := range v.Members {
@@ -140,33 +142,34 @@
 		}
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	for _, m := range others[:min(pushTo, len(others))] {
-		go d.heartbeat(ctx, m, false)
+	for _, m := range others[:min(pushFanout, len(others))] {
+		go d.sendHeartbeat(ctx, m, false)
 	}
 }
 
-// join exchanges all members with the hosts of the host list, or the seeds
-// while the list is out. It reports whether some peer answered or there is none.
+// join exchanges all facts with a few hosts of the host list and the seeds. It reports
+// whether one of them replied or the host list was read.
 func (d *Daemon) join(ctx context.Context) bool {
-	listed, err := d.readHosts(ctx)
+	hosts, err := d.readHostList(ctx)
 	targets := d.seeds()
 	if err == nil {
-		for _, m := range listed {
+		for _, m := range hosts {
 			targets = append(targets, m.Address)
 		}
 	}
 	answered := 0
 	for _, address := range targets {
-		if address != d.settings.GetListen().GetPeers() && d.heartbeat(ctx, member.Fact{Address: address}, true) {
+		if address != d.settings.GetListen().GetPeers() && d.sendHeartbeat(ctx, member.Fact{Address: address}, true) {
 			answered++
 		}
-		if answered >= askOnStart {
+		if answered >= bootstrapPeers {
 			break
 		}
 	}
 	return answered > 0 || err == nil
 }
 
+// seeds returns the peer addresses listed in the settings.
 func (d *Daemon) seeds() []string {
 	var seeds []string
 	for _, s := range strings.Split(d.settings.GetMembership().GetSeeds(), ",") {
--- a/internal/entry/hearing.go
+++ b/internal/entry/hearing.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// hearing remembers when a reply last came from each peer. It is safe for
-// concurrent use.
-type hearing struct {
+// replyTimes records when each peer last replied. It is safe for concurrent use.
+type replyTimes struct {
+	// times holds Unix times in nanoseconds by host, as *atomic.Int64.
 	times sync.Map
 }
 
-// note notes that a reply came from a host just now.
-func (h *hearing) note(host string) {
-	last, ok := h.times.Load(host)
+// record notes that a host has just replied.
+func (r *replyTimes) record(host string) {
+	last, ok := r.times.Load(host)
 	if !ok {
-		last, _ = h.times.LoadOrStore(host, &atomic.Int64{})
+		last, _ = r.times.LoadOrStore(host, &atomic.Int64{})
 	}
 	last.(*atomic.Int64).Store(time.Now().UnixNano())
 }
 
-// last returns when a reply last came from a host; the zero time is never.
-func (h *hearing) last(host string) time.Time {
-	last, ok := h.times.Load(host)
+// last returns when a host last replied, or the zero time if it never did.
+func (r *replyTimes) last(host string) time.Time {
+	last, ok := r.times.Load(host)
 	if !ok {
 		return time.Time{}
 	}
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -13,7 +13,7 @@
 	"github.com/mallowgap/mallowgap/internal/obs"
 )
 
-// httpHandler serves health, readiness and metrics.
+// httpHandler serves liveness, readiness and metrics.
 func (d *Daemon) httpHandler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -31,15 +31,17 @@
 	return e
 }
 
-// malformedCounter counts the calls that the transport refused: messages that
+// refusedCallCounter counts gRPC calls that end with an error, such as messages that
 // are too large or cannot be decoded.
-type malformedCounter struct{}
+type refusedCallCounter struct{}
 
 // TagRPC implements stats.Handler.
-func (malformedCounter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (refusedCallCounter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context {
+	return ctx
+}
 
 // HandleRPC implements stats.Handler.
-func (malformedCounter) HandleRPC(_ context.Context, event stats.RPCStats) {
+func (refusedCallCounter) HandleRPC(_ context.Context, event stats.RPCStats) {
 	end, ok := event.(*stats.End)
 	if !ok || end.Error == nil {
 		return
@@ -52,9 +54,9 @@
 }
 
 // TagConn implements stats.Handler.
-func (malformedCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
+func (refusedCallCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
 	return ctx
 }
 
 // HandleConn implements stats.Handler.
-func (malformedCounter) HandleConn(context.Context, stats.ConnStats) {}
+func (refusedCallCounter) HandleConn(context.Context, stats.ConnStats) {}
--- a/internal/entry/listen_test.go
+++ b/internal/entry/listen_test.go
@@ -21,13 +21,12 @@
 	"github.com/mallowgap/mallowgap/internal/platform/platformfake"
 )
 
-// TestOversizedMessage: a message that is too large is refused and counted, and
-// the host goes on.
+// An oversized message must be refused and counted, and the host must keep serving.
 func TestOversizedMessage(t *testing.T) {
-	any := "127.0.0.1:0"
+	anyPort := "127.0.0.1:0"
 	settings := &settingspb.Entry{
 		Host:       &settingspb.HostSection{Name: "entry-0"},
-		Listen:     &settingspb.ListenSection{Callers: any, Peers: any, Http: any, MaxMessageBytes: 1024},
+		Listen:     &settingspb.ListenSection{Callers: anyPort, Peers: anyPort, Http: anyPort, MaxMessageBytes: 1024},
 		Membership: &settingspb.MembershipSection{Heartbeat: durationpb.New(time.Second)},
 		Traffic:    &settingspb.TrafficSection{DefaultDeadline: durationpb.New(time.Second)},
 	}
@@ -43,7 +42,7 @@
 	d.ctx = ctx
 	go d.control.run(ctx)
 	s.serve()
-	conn, err := grpc.NewClient("passthrough:///"+s.callersLis.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	conn, err := grpc.NewClient("passthrough:///"+s.callerListener.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
 	client := callerpb.NewQueryClient(conn)
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// applyTimeout bounds a change whose caller set no deadline.
+	// applyTimeout bounds Apply, also for callers with a longer deadline.
 	applyTimeout = 10 * time.Second
-	// waitPoll is the pause between two rounds of asking hosts for their revision.
-	waitPoll = 50 * time.Millisecond
-	// askAtOnce bounds the hosts asked at the same time.
-	askAtOnce = 64
-	// askTimeout bounds the wait for one host.
-	askTimeout = 500 * time.Millisecond
+	// waitPollInterval is the pause between two checks of the hosts' revisions.
+	waitPollInterval = 50 * time.Millisecond
+	// maxConcurrentChecks bounds the hosts that are checked at the same time.
+	maxConcurrentChecks = 64
+	// revisionTimeout bounds the revision check of one host.
+	revisionTimeout = 500 * time.Millisecond
 )
 
-// operators serves the operators' calls.
-type operators struct {
+// operatorServer implements the Operator service.
+type operatorServer struct {
 	operatorpb.UnimplementedOperatorServer
 	*Daemon
 }
 
-// Get returns the configuration in force here.
-func (o operators) Get(context.Context, *operatorpb.GetRequest) (*operatorpb.GetReply, error) {
+// Get returns the current configuration of this host.
+func (o operatorServer) Get(context.Context, *operatorpb.GetRequest) (*operatorpb.GetReply, error) {
 	reply := &operatorpb.GetReply{}
 	if !o.control.do(func() { reply.Config = o.control.holder.Config() }) {
 		return nil, errStopped
@@ -38,8 +38,8 @@
 	return reply, nil
 }
 
-// Apply makes a change through the store and puts it in force here.
-func (o operators) Apply(ctx context.Context, request *operatorpb.ApplyRequest) (*operatorpb.ApplyReply, error) {
+// Apply writes a configuration change to the store and applies it at this host.
+func (o operatorServer) Apply(ctx context.Context, request *operatorpb.ApplyRequest) (*operatorpb.ApplyReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	editor := config.Editor{Store: o.store, Sleep: config.Sleep}
@@ -47,11 +47,12 @@
 	if err != nil {
 		return applyFailure(err), nil
 	}
-	// The change is accepted. Should reading it back fail, the watchers bring it.
+	// The change is accepted. If it cannot be read back, the watchers deliver it.
 	_ = o.readStore(ctx)
 	return &operatorpb.ApplyReply{Outcome: operatorpb.ApplyOutcome_ACCEPTED, Revision: revision}, nil
 }
 
+// applyFailure returns the reply to a change that failed with err.
 func applyFailure(err error) *operatorpb.ApplyReply {
 	reply := &operatorpb.ApplyReply{Message: err.Error(), Outcome: operatorpb.ApplyOutcome_INVALID}
 	var conflict *config.ConflictError
@@ -68,33 +69,34 @@
 	return reply
 }
 
-// Wait asks every live host for its revision until all have the one wanted.
-func (o operators) Wait(ctx context.Context, request *operatorpb.WaitRequest) (*operatorpb.WaitReply, error) {
+// Wait waits until every member has applied the requested revision. If the deadline
+// comes first, it returns the hosts that have not.
+func (o operatorServer) Wait(ctx context.Context, request *operatorpb.WaitRequest) (*operatorpb.WaitReply, error) {
 	for {
-		missing := o.lacking(ctx, request.GetRevision())
+		missing := o.hostsBehind(ctx, request.GetRevision())
 		if len(missing) == 0 {
 			return &operatorpb.WaitReply{InForce: true}, nil
 		}
-		if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < askTimeout+waitPoll {
+		if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < revisionTimeout+waitPollInterval {
 			return &operatorpb.WaitReply{Missing: missing}, nil
 		}
-		if config.Sleep(ctx, waitPoll) != nil {
+		if config.Sleep(ctx, waitPollInterval) != nil {
 			return &operatorpb.WaitReply{Missing: missing}, nil
 		}
 	}
 }
 
-// lacking returns the hosts on which a revision is not known to be in force.
-func (o operators) lacking(ctx context.Context, revision uint64) []string {
+// hostsBehind returns the hosts not known to have applied a revision.
+func (o operatorServer) hostsBehind(ctx context.Context, revision uint64) []string {
 	v := o.control.view()
 	var mu sync.Mutex
 	var missing []string
-	var asked sync.WaitGroup
-	turns := make(chan struct{}, askAtOnce)
+	var wg sync.WaitGroup
+	sem := make(chan struct{}, maxConcurrentChecks)
 	for _, m := range v.Members {
-		asked.Go(func() {
-			turns <- struct{}{}
-			defer func() { <-turns }()
+		wg.Go(func() {
+			sem <- struct{}{}
+			defer func() { <-sem }()
 			if o.revisionAt(ctx, m) >= revision {
 				return
 			}
@@ -103,16 +105,17 @@
 			missing = append(missing, m.Host)
 		})
 	}
-	asked.Wait()
+	wg.Wait()
 	slices.Sort(missing)
 	return missing
 }
 
-func (o operators) revisionAt(ctx context.Context, m member.Fact) uint64 {
+// revisionAt returns the revision applied at a member, or 0 if it does not reply.
+func (o operatorServer) revisionAt(ctx context.Context, m member.Fact) uint64 {
 	if m.Host == o.name {
 		return o.control.view().Revision
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, revisionTimeout)
 	defer cancel()
 	reply, err := o.peers.Applied(ctx, m.Address)
 	if err != nil {
@@ -121,8 +124,8 @@
 	return reply.GetRevision()
 }
 
-// Status reports what this host knows.
-func (o operators) Status(context.Context, *operatorpb.StatusRequest) (*operatorpb.StatusReply, error) {
+// Status returns this host's view of the members, services and leaving leaves.
+func (o operatorServer) Status(context.Context, *operatorpb.StatusRequest) (*operatorpb.StatusReply, error) {
 	v := o.control.view()
 	reply := &operatorpb.StatusReply{Host: o.name, Revision: v.Revision}
 	for _, m := range v.Members {
@@ -150,5 +153,5 @@
 	return reply, nil
 }
 
-// Operators returns the server of the operators' calls.
-func (d *Daemon) Operators() operatorpb.OperatorServer { return operators{Daemon: d} }
+// Operators returns the implementation of the Operator service.
+func (d *Daemon) Operators() operatorpb.OperatorServer { return operatorServer{Daemon: d} }
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -17,23 +17,24 @@
 )
 
 const (
-	// notReadyAfter is when to come back to a host that is not ready.
-	notReadyAfter = 500 * time.Millisecond
-	// peerLostAfter is when to come back after a home was lost.
-	peerLostAfter = 200 * time.Millisecond
-	// maxRoutes is the number of homes that a request may be handed to in turn.
-	maxRoutes = 3
-	// forwardMargin is kept of the time left for the way back from a home.
+	// notReadyRetryAfter is the retry delay suggested by a host that is not ready.
+	notReadyRetryAfter = 500 * time.Millisecond
+	// peerLostRetryAfter is the retry delay suggested after a home was lost.
+	peerLostRetryAfter = 200 * time.Millisecond
+	// maxForwardAttempts bounds the homes that a request is sent to, one after the
+	// other.
+	maxForwardAttempts = 3
+	// forwardMargin is the part of the remaining time reserved for the reply of a home.
 	forwardMargin = time.Millisecond
-	// silenceShare is the part of the time left after which a home that was
-	// not heard from is given up: one third.
-	silenceShare = 3
-	// shortestSilence is the shortest such time.
-	shortestSilence = 30 * time.Millisecond
+	// silenceDivisor divides the remaining time of a request: a home that has not
+	// replied to anything for the result is given up.
+	silenceDivisor = 3
+	// minSilenceTimeout is the shortest silence after which a home is given up.
+	minSilenceTimeout = 30 * time.Millisecond
 )
 
-// Ask runs one request of a desk.
-func (d *Daemon) Ask(ctx context.Context, ask *callerpb.AskRequest) (*callerpb.AskReply, error) {
+// Ask runs a request of a desk, with the default deadline if ctx has none.
+func (d *Daemon) Ask(ctx context.Context, req *callerpb.AskRequest) (*callerpb.AskReply, error) {
 	d.inFlight.Add(1)
 	defer d.inFlight.Done()
 	if _, ok := ctx.Deadline(); !ok {
@@ -41,60 +42,62 @@
 		ctx, cancel = context.WithTimeout(ctx, d.settings.GetTraffic().GetDefaultDeadline().AsDuration())
 		defer cancel()
 	}
-	reply := d.route(ctx, ask)
+	reply := d.route(ctx, req)
 	obs.CountReply(reply)
 	return reply, nil
 }
 
-// route checks a request and hands it to where it has to run.
-func (d *Daemon) route(ctx context.Context, ask *callerpb.AskRequest) *callerpb.AskReply {
+// route validates a request and sends it to the host that has to run it.
+func (d *Daemon) route(ctx context.Context, req *callerpb.AskRequest) *callerpb.AskReply {
 	v := d.control.view()
 	if v.Revision == 0 {
-		return d.refuse(ask, callerpb.Reason_NOT_READY, "no configuration is in force here yet: ask another entry host", notReadyAfter)
+		return d.refuse(req, callerpb.Reason_NOT_READY, "this entry host has no configuration yet: send the request to another entry host", notReadyRetryAfter)
 	}
-	if ask.GetRequestId() == "" {
-		return d.refuse(ask, callerpb.Reason_INVALID_REQUEST, "request_id is empty: give the request a unique identifier", 0)
+	if req.GetRequestId() == "" {
+		return d.refuse(req, callerpb.Reason_INVALID_REQUEST, "request_id is empty: give the request a unique identifier", 0)
 	}
-	if _, ok := v.Rank(ask.GetDesk()); !ok {
-		return d.refuse(ask, callerpb.Reason_UNKNOWN_DESK, fmt.Sprintf("desk %q is not configured: ask the operators to add it", ask.GetDesk()), 0)
+	if _, ok := v.Rank(req.GetDesk()); !ok {
+		return d.refuse(req, callerpb.Reason_UNKNOWN_DESK, fmt.Sprintf("desk %q is not configured: ask the operators to add it", req.GetDesk()), 0)
 	}
-	p, ok := v.Service(ask.GetService())
+	p, ok := v.Service(req.GetService())
 	if !ok {
-		return d.refuse(ask, callerpb.Reason_UNKNOWN_SERVICE, fmt.Sprintf("service %q is not configured: correct the name", ask.GetService()), 0)
+		return d.refuse(req, callerpb.Reason_UNKNOWN_SERVICE, fmt.Sprintf("service %q is not configured: correct the name", req.GetService()), 0)
 	}
 	if deadline, _ := ctx.Deadline(); time.Until(deadline) <= forwardMargin {
-		return d.refuse(ask, callerpb.Reason_DEADLINE_TOO_SHORT, "the deadline has passed: allow more time", 0)
+		return d.refuse(req, callerpb.Reason_DEADLINE_TOO_SHORT, "the deadline has passed: set a longer deadline", 0)
 	}
-	if p.Spec.GetNotRepeatable() && !ask.GetNotRepeatable() {
-		ask = proto.Clone(ask).(*callerpb.AskRequest)
-		ask.NotRepeatable = true
+	if p.Spec.GetNotRepeatable() && !req.GetNotRepeatable() {
+		req = proto.Clone(req).(*callerpb.AskRequest)
+		req.NotRepeatable = true
 	}
-	if ask.GetNotRepeatable() && len(ask.GetTicket()) > 0 {
-		return d.redeemAt(ctx, v, ask)
+	if req.GetNotRepeatable() && len(req.GetTicket()) > 0 {
+		return d.redeemAtMinter(ctx, v, req)
 	}
-	return d.toHome(ctx, ask)
+	return d.runAtHome(ctx, req)
 }
 
-// refuse refuses a request before it went anywhere. A request with a ticket
-// may have been sent before, and is not called not run on that ground.
-func (d *Daemon) refuse(ask *callerpb.AskRequest, reason callerpb.Reason, message string, after time.Duration) *callerpb.AskReply {
-	if len(ask.GetTicket()) > 0 {
-		return home.Unknown(ask, reason, message+"; then resend with the same ticket", after)
-	}
-	return home.NotRun(ask, reason, message, after)
+// refuse returns the reply to a request that is rejected before it was sent to a home.
+// A request with a ticket may have been executed when it was sent earlier, so its
+// outcome is UNKNOWN and not NOT_RUN.
+func (d *Daemon) refuse(req *callerpb.AskRequest, reason callerpb.Reason, message string, retryAfter time.Duration) *callerpb.AskReply {
+	if len(req.GetTicket()) > 0 {
+		return home.Unknown(req, reason, message+"; then resend with the same ticket", retryAfter)
+	}
+	return home.NotRun(req, reason, message, retryAfter)
 }
 
-// toHome runs a request, or mints a ticket for it, at a home of its service. A
-// repeatable request goes on to the next home when one is lost.
-func (d *Daemon) toHome(ctx context.Context, ask *callerpb.AskRequest) *callerpb.AskReply {
+// runAtHome runs a request, or mints a ticket for it, at a home of its service, and
+// tries the next home if one is lost. A non-repeatable request that gets here has no
+// ticket yet, so no home executes it.
+func (d *Daemon) runAtHome(ctx context.Context, req *callerpb.AskRequest) *callerpb.AskReply {
 	mayHaveRun := false
 	lost := map[string]bool{}
-	for range maxRoutes {
-		target, ok := d.chooseHome(ask, lost)
+	for range maxForwardAttempts {
+		target, ok := d.chooseHome(req, lost)
 		if !ok || ctx.Err() != nil {
 			break
 		}
-		reply, err := d.runAt(ctx, target, ask)
+		reply, err := d.runAt(ctx, target, req)
 		if err == nil {
 			if mayHaveRun && reply.GetOutcome() == callerpb.Outcome_NOT_RUN {
 				reply.Outcome = callerpb.Outcome_UNKNOWN
@@ -108,25 +111,25 @@
 			continue
 		}
 		obs.Counter("mallowgap_forward_retries_total", "reason", "lost").Inc()
-		mayHaveRun = mayHaveRun || !ask.GetNotRepeatable()
+		mayHaveRun = mayHaveRun || !req.GetNotRepeatable()
 	}
 	if mayHaveRun {
-		return home.Unknown(ask, callerpb.Reason_PEER_LOST, "the entry host that ran the request was lost: repeat it", peerLostAfter)
+		return home.Unknown(req, callerpb.Reason_PEER_LOST, "the entry host that ran the request was lost: repeat the request", peerLostRetryAfter)
 	}
-	return home.NotRun(ask, callerpb.Reason_PEER_LOST, "no home of the service can be reached: come back", peerLostAfter)
+	return home.NotRun(req, callerpb.Reason_PEER_LOST, "no home of the service is reachable: retry later", peerLostRetryAfter)
 }
 
-// chooseHome picks a home that was not lost, by the request, so that several
-// homes share the load. When all are lost, this host takes their place.
-func (d *Daemon) chooseHome(ask *callerpb.AskRequest, lost map[string]bool) (member.Fact, bool) {
+// chooseHome returns a home that is not lost, spreading requests over the homes by a
+// hash of the request identifier. If all are lost, it returns this host.
+func (d *Daemon) chooseHome(req *callerpb.AskRequest, lost map[string]bool) (member.Fact, bool) {
 	v := d.control.view()
-	p, ok := v.Service(ask.GetService())
+	p, ok := v.Service(req.GetService())
 	if !ok {
 		return member.Fact{}, false
 	}
-	start := xxhash.Sum64String(ask.GetRequestId())
+	hash := xxhash.Sum64String(req.GetRequestId())
 	for i := range uint64(len(p.Homes)) {
-		m := p.Homes[(start+i)%uint64(len(p.Homes))]
+		m := p.Homes[(hash+i)%uint64(len(p.Homes))]
 		if !lost[m.Host] {
 			return m, true
 		}
@@ -135,37 +138,38 @@
 }
 
 // runAt runs a request at a host. An error means that the host was lost.
-func (d *Daemon) runAt(ctx context.Context, target member.Fact, ask *callerpb.AskRequest) (*callerpb.AskReply, error) {
+func (d *Daemon) runAt(ctx context.Context, target member.Fact, req *callerpb.AskRequest) (*callerpb.AskReply, error) {
 	if target.Host == d.name {
-		return d.serveHere(ctx, ask), nil
+		return d.serveLocally(ctx, req), nil
 	}
 	deadline, _ := ctx.Deadline()
-	left := time.Until(deadline) - forwardMargin
+	remaining := time.Until(deadline) - forwardMargin
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if !ask.GetNotRepeatable() {
-		stop := d.giveUpOnSilence(target.Host, left, cancel)
+	if !req.GetNotRepeatable() {
+		stop := d.cancelIfSilent(target.Host, remaining, cancel)
 		defer stop()
 	}
 	reply, err := d.peers.Forward(ctx, target.Address, &peerpb.ForwardRequest{
-		Ask: ask, TimeoutUs: uint64(max(left, 0).Microseconds()), From: d.name,
+		Ask: req, TimeoutUs: uint64(max(remaining, 0).Microseconds()), From: d.name,
 	})
 	if err == nil {
-		d.heard.note(target.Host)
+		d.lastReplies.record(target.Host)
 	}
-	if err == nil && reply.GetRequestId() != ask.GetRequestId() {
+	if err == nil && reply.GetRequestId() != req.GetRequestId() {
 		err = errWrongReply
 	}
 	return reply, err
 }
 
-// giveUpOnSilence cancels a forwarded request if nothing at all was heard from
-// its home since it was sent, so that there is time for another home. A home
-// that lives and has a long queue keeps answering others and is waited for.
-func (d *Daemon) giveUpOnSilence(host string, left time.Duration, cancel context.CancelFunc) (stop func()) {
+// cancelIfSilent cancels a forwarded request if its home has replied to nothing since
+// the request was sent, which leaves time for another home. A home that is busy still
+// replies to other requests and is waited for. The caller must call stop when the
+// request ends.
+func (d *Daemon) cancelIfSilent(host string, remaining time.Duration, cancel context.CancelFunc) (stop func()) {
 	sent := time.Now()
-	timer := time.AfterFunc(max(left/silenceShare, shortestSilence), func() {
-		if d.heard.last(host).Before(sent) {
+	timer := time.AfterFunc(max(remaining/silenceDivisor, minSilenceTimeout), func() {
+		if d.lastReplies.last(host).Before(sent) {
 			obs.Counter("mallowgap_forward_retries_total", "reason", "silent").Inc()
 			d.control.do(func() { d.control.members.Failed(host, time.Now()) })
 			cancel()
@@ -174,38 +178,39 @@
 	return func() { timer.Stop() }
 }
 
-// Forward runs a request that another entry host received.
+// Forward runs a request that another entry host sent.
 func (d *Daemon) Forward(ctx context.Context, request *peerpb.ForwardRequest) (*callerpb.AskReply, error) {
 	d.inFlight.Add(1)
 	defer d.inFlight.Done()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.GetTimeoutUs())*time.Microsecond)
 	defer cancel()
-	return d.serveHere(ctx, request.GetAsk()), nil
+	return d.serveLocally(ctx, request.GetAsk()), nil
 }
 
-// serveHere runs a request at this host, as a home of its service or as the
-// host that minted its ticket.
-func (d *Daemon) serveHere(ctx context.Context, ask *callerpb.AskRequest) *callerpb.AskReply {
-	if !ask.GetNotRepeatable() {
-		return d.serve(ctx, ask)
+// serveLocally runs a request at this host, as a home of its service or as the host
+// that minted its ticket.
+func (d *Daemon) serveLocally(ctx context.Context, req *callerpb.AskRequest) *callerpb.AskReply {
+	if !req.GetNotRepeatable() {
+		return d.serveAsHome(ctx, req)
 	}
-	if len(ask.GetTicket()) == 0 {
-		return d.mint(ask)
+	if len(req.GetTicket()) == 0 {
+		return d.mintTicket(req)
 	}
-	return d.redeem(ctx, ask)
+	return d.redeemTicket(ctx, req)
 }
 
-func (d *Daemon) serve(ctx context.Context, ask *callerpb.AskRequest) *callerpb.AskReply {
-	rank, known := d.control.view().Rank(ask.GetDesk())
-	s, ok := d.homeOf(ask.GetService())
+// serveAsHome runs a request at this host's home of its service.
+func (d *Daemon) serveAsHome(ctx context.Context, req *callerpb.AskRequest) *callerpb.AskReply {
+	rank, known := d.control.view().Rank(req.GetDesk())
+	s, ok := d.homeOf(req.GetService())
 	if !ok || !known {
-		return home.NotRun(ask, callerpb.Reason_NOT_READY, "the home does not have this configuration yet: come back", notReadyAfter)
+		return home.NotRun(req, callerpb.Reason_NOT_READY, "the home has not applied this configuration yet: retry later", notReadyRetryAfter)
 	}
-	return s.Serve(ctx, ask, rank)
+	return s.Serve(ctx, req, rank)
 }
 
-// homeOf finds the home of a service without going through the control loop
-// where it exists already.
+// homeOf returns the home of a service from the cache, or through the control loop the
+// first time.
 func (d *Daemon) homeOf(name string) (*home.Service, bool) {
 	if s, ok := d.homes.Load(name); ok {
 		return s.(*home.Service), true
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	// askOnStart is how many peers a starting host asks for their revision.
-	askOnStart = 5
-	// watchTime is the length of one waiting watch.
-	watchTime = 30 * time.Second
-	// retryPause is the pause after a failed call to the platform; a random
-	// part is added, so that hosts do not come back all at once.
-	retryPause = 500 * time.Millisecond
-	// dutyCheck is the interval at which a host looks whether a duty is its own.
-	dutyCheck = 500 * time.Millisecond
-	// pullTimeout bounds the fetch of a configuration from a peer.
+	// bootstrapPeers is the number of peers that a starting host contacts.
+	bootstrapPeers = 5
+	// watchTimeout bounds one watch call.
+	watchTimeout = 30 * time.Second
+	// retryDelay is the minimum delay after a failed call to the platform. Up to the
+	// same time is added as jitter.
+	retryDelay = 500 * time.Millisecond
+	// roleCheckInterval is how often a host checks whether it has become a watcher.
+	roleCheckInterval = 500 * time.Millisecond
+	// pullTimeout bounds the transfer of a configuration from a peer.
 	pullTimeout = 5 * time.Second
-	// resync is the interval at which a watcher reads the head anew, should a
-	// watch have gone stale.
-	resync = 5 * time.Second
+	// resyncInterval bounds one watch call too, so that a watch that no longer delivers
+	// changes is replaced.
+	resyncInterval = 5 * time.Second
 )
 
-const watchDuty = "watch"
+// watcherRole is the role of reading the store and the host list for all hosts.
+const watcherRole = "watch"
 
-// start brings a starting host up to what is in force: the newest of what the
-// store and the peers say. It returns when one of them answered.
-func (d *Daemon) start(ctx context.Context) {
+// bootstrap joins the members and fetches the newest configuration from the store and
+// the peers. It returns once one of them has provided it.
+func (d *Daemon) bootstrap(ctx context.Context) {
 	for ctx.Err() == nil {
 		joined := d.join(ctx)
-		// Peers first: what they have is not read from the store again, so
-		// that hosts that start together cost it one read each.
-		fromPeers := d.askPeers(ctx)
+		// Peers come first: parts received from them are not read from the store, which
+		// limits its load when many hosts start together.
+		fromPeers := d.pullFromPeers(ctx)
 		fromStore := d.readStore(ctx) == nil
 		if (joined && fromStore) || fromPeers {
 			d.control.do(func() {
@@ -48,16 +49,18 @@
 			})
 			return
 		}
-		d.pause(ctx)
+		d.sleepBeforeRetry(ctx)
 	}
 }
 
-func (d *Daemon) pause(ctx context.Context) {
-	_ = config.Sleep(ctx, retryPause+rand.N(retryPause))
+// sleepBeforeRetry sleeps for retryDelay with jitter.
+func (d *Daemon) sleepBeforeRetry(ctx context.Context) {
+	_ = config.Sleep(ctx, retryDelay+rand.N(retryDelay))
 }
 
-// askPeers pulls from some peers and reports whether one has a configuration.
-func (d *Daemon) askPeers(ctx context.Context) bool {
+// pullFromPeers pulls the configuration from a few random peers and reports whether
+// this host has one then.
+func (d *Daemon) pullFromPeers(ctx context.Context) bool {
 	v := d.control.view()
 	others := make([]member.Fact, 0, len(v.Members))
 	for _, m := range v.Members {
@@ -67,42 +70,42 @@
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	found := false
-	for _, m := range others[:min(askOnStart, len(others))] {
-		if ctx.Err() == nil && d.pull(m.Address) == nil {
+	for _, m := range others[:min(bootstrapPeers, len(others))] {
+		if ctx.Err() == nil && d.pullConfig(m.Address) == nil {
 			found = found || d.control.view().Revision > 0
 		}
 	}
 	return found
 }
 
-// pull takes the configuration in force at a peer if it is newer.
-func (d *Daemon) pull(address string) error {
+// pullConfig fetches the configuration of a peer and applies it if it is newer.
+func (d *Daemon) pullConfig(address string) error {
 	ctx, cancel := context.WithTimeout(d.ctx, pullTimeout)
 	defer cancel()
 	reply, err := d.peers.FetchHead(ctx, address)
 	if err != nil {
 		return err
 	}
-	return d.adopt(reply.GetHead(), func(lacking []config.Digest) (config.Parts, error) {
+	return d.adoptHead(reply.GetHead(), func(missing []config.Digest) (config.Parts, error) {
 		request := &peerpb.FetchPartsRequest{}
-		for _, l := range lacking {
-			request.Digests = append(request.Digests, l[:])
+		for _, digest := range missing {
+			request.Digests = append(request.Digests, digest[:])
 		}
 		fetched, err := d.peers.FetchParts(ctx, address, request)
 		if err != nil {
 			return nil, err
 		}
 		parts := config.Parts{}
-		for i, b := range fetched.GetParts() {
-			if i < len(lacking) {
-				parts[lacking[i]] = b
+		for i, part := range fetched.GetParts() {
+			if i < len(missing) {
+				parts[missing[i]] = part
 			}
 		}
 		return parts, nil
 	})
 }
 
-// readStore takes the configuration in the store if it is newer.
+// readStore reads the configuration in the store and applies it if it is newer.
 func (d *Daemon) readStore(ctx context.Context) error {
 	head, _, err := config.ReadHead(ctx, d.store)
 	if err != nil {
@@ -111,8 +114,9 @@
 	return d.adoptFromStore(ctx, head)
 }
 
-// adoptValue takes the configuration whose head is a value of the store.
-func (d *Daemon) adoptValue(ctx context.Context, value config.Value) error {
+// adoptStoreValue applies the configuration whose encoded head is value, if it is
+// newer.
+func (d *Daemon) adoptStoreValue(ctx context.Context, value config.Value) error {
 	head, err := config.DecodeHead(value)
 	if err != nil {
 		return err
@@ -120,77 +124,82 @@
 	return d.adoptFromStore(ctx, head)
 }
 
+// adoptFromStore applies the configuration of head with parts from the store, if it is
+// newer.
 func (d *Daemon) adoptFromStore(ctx context.Context, head *configpb.Head) error {
-	return d.adopt(head, func(lacking []config.Digest) (config.Parts, error) {
-		return config.ReadParts(ctx, d.store, lacking)
+	return d.adoptHead(head, func(missing []config.Digest) (config.Parts, error) {
+		return config.ReadParts(ctx, d.store, missing)
 	})
 }
 
-// adopt fetches what a head needs and puts it in force if it is newer.
-func (d *Daemon) adopt(head *configpb.Head, fetch func(lacking []config.Digest) (config.Parts, error)) error {
-	var lacking []config.Digest
+// adoptHead fetches the parts of a configuration that this host lacks and applies it if
+// it is newer.
+func (d *Daemon) adoptHead(head *configpb.Head, fetch func(missing []config.Digest) (config.Parts, error)) error {
+	var missing []config.Digest
 	var err error
-	d.control.do(func() { lacking, err = d.control.holder.Lacking(head) })
+	d.control.do(func() { missing, err = d.control.holder.Lacking(head) })
 	if err != nil {
 		return err
 	}
 	parts := config.Parts{}
-	if len(lacking) > 0 {
-		if parts, err = fetch(lacking); err != nil {
+	if len(missing) > 0 {
+		if parts, err = fetch(missing); err != nil {
 			return err
 		}
 	}
-	d.control.do(func() { err = d.control.offer(head, parts) })
+	d.control.do(func() { err = d.control.applyConfig(head, parts) })
 	return err
 }
 
-// watch watches the store for all hosts while that is this host's duty.
-func (d *Daemon) watch(ctx context.Context) {
+// watchStore watches the store for new configurations while this host is a watcher.
+func (d *Daemon) watchStore(ctx context.Context) {
 	version := uint64(0)
 	for ctx.Err() == nil {
-		if !d.holds(watchDuty) {
-			_ = config.Sleep(ctx, dutyCheck)
+		if !d.hasRole(watcherRole) {
+			_ = config.Sleep(ctx, roleCheckInterval)
 			continue
 		}
-		waiting, cancel := context.WithTimeout(ctx, min(watchTime, resync))
-		value, err := d.store.Watch(waiting, config.HeadKey, version)
-		expired := waiting.Err() != nil
+		watchCtx, cancel := context.WithTimeout(ctx, min(watchTimeout, resyncInterval))
+		value, err := d.store.Watch(watchCtx, config.HeadKey, version)
+		expired := watchCtx.Err() != nil
 		cancel()
 		switch {
 		case expired:
-			// The next watch begins anew, from what the store has then.
+			// The next watch also returns changes that this one missed.
 		case err != nil:
-			d.pause(ctx)
+			d.sleepBeforeRetry(ctx)
 		default:
-			if d.adoptValue(ctx, value) == nil {
+			if d.adoptStoreValue(ctx, value) == nil {
 				version = value.Version
 			} else {
-				d.pause(ctx)
+				d.sleepBeforeRetry(ctx)
 			}
 		}
 	}
 }
 
-// pollHosts reads the host list for all hosts while that is this host's duty.
-func (d *Daemon) pollHosts(ctx context.Context) {
+// pollHostList reads the host list at intervals while this host is a watcher.
+func (d *Daemon) pollHostList(ctx context.Context) {
 	interval := d.settings.GetPlatform().GetHostPoll().AsDuration()
 	for ctx.Err() == nil {
-		if d.holds(watchDuty) {
-			_, _ = d.readHosts(ctx)
+		if d.hasRole(watcherRole) {
+			_, _ = d.readHostList(ctx)
 		}
 		_ = config.Sleep(ctx, interval)
 	}
 }
 
-func (d *Daemon) holds(duty string) bool {
+// hasRole reports whether this host has a role, and is synced so that it knows the
+// others that may have it.
+func (d *Daemon) hasRole(role string) bool {
 	v := d.control.view()
-	return v.Synced && onDuty(duty, v.Members, v.Self.Host, int(d.settings.GetPlatform().GetWatchers()))
+	return v.Synced && holdsRole(role, v.Members, v.Self.Host, int(d.settings.GetPlatform().GetWatchers()))
 }
 
-// readHosts takes the host list in and returns the entry hosts it names. The
-// list lags, so it only adds members and leaving leaves; that a member is gone
-// is found by heartbeats.
-func (d *Daemon) readHosts(ctx context.Context) ([]member.Fact, error) {
+// readHostList reads the host list, merges it and returns the other live entry hosts.
+// The list lags, so it only adds members and leaving leaves; heartbeats detect that a
+// member is gone.
+func (d *Daemon) readHostList(ctx context.Context) ([]member.Fact, error) {
 	hosts, err := d.hosts.Hosts(ctx)
 	if err != nil {
 		return nil, err
@@ -214,8 +223,9 @@
 	return entries, nil
 }
 
-// announce keeps telling the host list the state of this host until it took it.
-func (d *Daemon) announce(ctx context.Context, state platformpb.HostState) {
+// announceState announces the state of this host to the host list, with retries until
+// that succeeds or ctx ends.
+func (d *Daemon) announceState(ctx context.Context, state platformpb.HostState) {
 	host := &platformpb.Host{
 		Name: d.name, Address: d.settings.GetListen().GetPeers(), FailureDomain: d.settings.GetHost().GetFailureDomain(),
 		Kind: platformpb.HostKind_ENTRY, State: state, Incarnation: d.incarnation,
@@ -224,11 +234,11 @@
 		if d.hosts.Announce(ctx, host) == nil {
 			return
 		}
-		d.pause(ctx)
+		d.sleepBeforeRetry(ctx)
 	}
 }
 
-// FetchHead gives the head in force to another host.
+// FetchHead returns the head of the current configuration to another host.
 func (d *Daemon) FetchHead(context.Context, *peerpb.FetchHeadRequest) (*peerpb.FetchHeadReply, error) {
 	reply := &peerpb.FetchHeadReply{}
 	if !d.control.do(func() { reply.Head = d.control.holder.Head() }) {
@@ -237,8 +247,8 @@
 	return reply, nil
 }
 
-// FetchParts gives parts of the configuration in force to another host. A part
-// that is not there is left empty.
+// FetchParts returns parts of the current configuration to another host, in the order
+// requested. A part that this host lacks is empty.
 func (d *Daemon) FetchParts(_ context.Context, request *peerpb.FetchPartsRequest) (*peerpb.FetchPartsReply, error) {
 	reply := &peerpb.FetchPartsReply{}
 	ok := d.control.do(func() {
@@ -254,7 +264,7 @@
 	return reply, nil
 }
 
-// Applied tells another host the revision in force here.
+// Applied returns the revision of the current configuration to another host.
 func (d *Daemon) Applied(context.Context, *peerpb.AppliedRequest) (*peerpb.AppliedReply, error) {
 	return &peerpb.AppliedReply{Host: d.name, Revision: d.control.view().Revision}, nil
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -9,28 +9,30 @@
 	"github.com/mallowgap/mallowgap/rendezvous"
 )
 
-// View is the control state as traffic sees it. It is never changed.
+// View is an immutable snapshot of the control state, as request handling sees it.
 type View struct {
 	Revision uint64
 	Self     member.Fact
 	Members  []member.Fact
-	// Synced: this host knows what is in force. Before, it takes no duty, since
-	// it may not know the members that hold it.
+	// Synced is set once this host knows the current configuration and the members.
+	// Before that it takes no role, since it may not know the hosts that have it.
 	Synced bool
-	// Ready: a configuration is in force and new requests are welcome.
+	// Ready is set if a configuration is applied and new requests are accepted.
 	Ready    bool
 	Stopping bool
 
+	// services holds the placements by service, ranks the class ranks by desk, and
+	// leaving the incarnations of leaving leaves by address.
 	services map[string]*Placement
 	ranks    map[string]uint32
 	leaving  map[string]uint64
 }
 
-// Placement is a service and the hosts that carry it.
+// Placement is a service and its homes, the hosts that coordinate its queries.
 type Placement struct {
 	Spec  *configpb.Service
 	Homes []member.Fact
-	// Index is this host's place among the homes, or -1.
+	// Index is the position of this host among Homes, or -1.
 	Index int
 }
 
@@ -40,13 +42,13 @@
 	return p, ok
 }
 
-// Rank returns the rank of a desk's class.
+// Rank returns the rank of a desk's class; 0 is the highest.
 func (v *View) Rank(desk string) (uint32, bool) {
 	rank, ok := v.ranks[desk]
 	return rank, ok
 }
 
-// Member returns the fact about a host.
+// Member returns what is known about a host.
 func (v *View) Member(host string) (member.Fact, bool) {
 	for _, m := range v.Members {
 		if m.Host == host {
@@ -56,34 +58,34 @@
 	return member.Fact{}, false
 }
 
-// Leaving returns the incarnation of a leaf that is leaving.
+// Leaving returns the incarnation of a leaf that is leaving, and false if it is not.
 func (v *View) Leaving(address string) (uint64, bool) {
 	incarnation, ok := v.leaving[address]
 	return incarnation, ok
 }
 
-// share is this host's share of a service. A host that is no home but is asked
-// all the same, because the asker sees other members, takes the first share:
-// the leaf's own limit then holds.
+// share returns this host's share of the service's slots. A host that is not a home but
+// gets a request, because the sender sees other members, uses the first share; the
+// leaf's own limit then applies.
 func (p *Placement) share() home.Share {
 	return home.Share{Homes: max(len(p.Homes), 1), Index: max(p.Index, 0)}
 }
 
-// candidates are the members that duties are placed on. A suspect member
-// carries none: if it lives it refutes that within a second, and until then its
-// duties are better moved than waited for.
+// candidates returns the members that homes and roles may be placed on. Suspect members
+// are excluded: a live one refutes the suspicion within a second, and moving its work
+// is better than waiting.
 func candidates(members []member.Fact) []rendezvous.Member {
-	placed := make([]rendezvous.Member, 0, len(members))
+	alive := make([]rendezvous.Member, 0, len(members))
 	for _, m := range members {
 		if m.State == member.Alive {
-			placed = append(placed, rendezvous.Member{ID: m.Host, Domain: m.Domain})
+			alive = append(alive, rendezvous.Member{ID: m.Host, Domain: m.Domain})
 		}
 	}
-	return placed
+	return alive
 }
 
-// place finds the homes of every service.
-func place(c *configpb.Config, members []member.Fact, self string) map[string]*Placement {
+// placeServices computes the homes of every service by rendezvous hashing.
+func placeServices(c *configpb.Config, members []member.Fact, self string) map[string]*Placement {
 	byHost := make(map[string]member.Fact, len(members))
 	for _, m := range members {
 		byHost[m.Host] = m
@@ -103,8 +105,8 @@
 	return placements
 }
 
-// rankDesks maps desks to the ranks of their classes.
-func rankDesks(c *configpb.Config) map[string]uint32 {
+// deskRanks maps each desk to the rank of its class.
+func deskRanks(c *configpb.Config) map[string]uint32 {
 	classes := make(map[string]uint32, len(c.GetClasses()))
 	for _, class := range c.GetClasses() {
 		classes[class.GetName()] = class.GetRank()
@@ -116,8 +118,9 @@
 	return ranks
 }
 
-// onDuty reports whether a host is one of n that hold a duty.
-func onDuty(duty string, members []member.Fact, host string, n int) bool {
-	holders := rendezvous.Rank("duty/"+duty, candidates(members), n)
+// holdsRole reports whether host is one of the n members that a role is placed on. All
+// hosts must use the same rendezvous key for a role.
+func holdsRole(role string, members []member.Fact, host string, n int) bool {
+	holders := rendezvous.Rank("duty/"+role, candidates(members), n)
 	return slices.ContainsFunc(holders, func(m rendezvous.Member) bool { return m.ID == host })
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -33,7 +33,7 @@
 TestInvariantNotRun@internal/home/query.go@s/\tq.maybeExecuted\+\+\n//@attempts that were sent are not counted
 TestInvariantNotRun@internal/home/reply.go@s/case leaf.NotSent\(r.err\):/case r.err != nil:/@every failed attempt is taken as not sent
 TestInvariantNotRun@internal/entry/route.go@s/if mayHaveRun && reply.GetOutcome\(\) == callerpb.Outcome_NOT_RUN/if false/@a home lost before is forgotten
-TestInvariantNotRun@internal/entry/route.go@s/if len\(ask.GetTicket\(\)\) > 0 \{\n\t\treturn home.Unknown/if false {\n\t\treturn home.Unknown/@a resend that is refused is called not run
+TestInvariantNotRun@internal/entry/route.go@s/if len\(req.GetTicket\(\)\) > 0 \{\n\t\treturn home.Unknown/if false {\n\t\treturn home.Unknown/@a resend that is refused is called not run
 TestInvariantAtMostOnce@once/ledger.go@s/if t.Incarnation != l.incarnation \{/if t.Incarnation == 0 {/; s/!hmac.Equal\(t.MAC, l.key.sign\(t\)\)/!hmac.Equal(t.MAC, t.MAC)/@a ticket is redeemed by a later incarnation
 TestInvariantAtMostOnce@once/ledger.go@s/(l.outcomes\[t.Sequence\] = e)/$1\n\tl.redeemed = map[uint64]*[pageBits \/ 64]uint64{}\n\tdelete(l.outcomes, t.Sequence)/@a redeemed ticket is forgotten
 TestInvariantAtMostOnce@internal/home/reply.go@s/if q.notRepeatable && q.maybeExecuted > 0 \{/if false {/@a lost attempt is sent again
