--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -30,13 +30,13 @@
 TestInvariantCoverage@scatter/gather.go@s/if len\(part.Rows\) != part.RowCount \{/if false {/@a truncated part is merged
 TestInvariantCoverage@scatter/gather.go@s/if s.merged != nil \{/if s.merged != nil || s.missing == Refused {/; s/result.Rows = append\(result.Rows, s.merged.Rows...\)/if s.merged != nil { result.Rows = append(result.Rows, s.merged.Rows...) }/@a shard whose server refused counts as contributed
 TestInvariantCorrelation@internal/home/dispatch.go@s/reply.GetAttemptId\(\) != a.id/false/@a reply to another attempt is accepted
-TestInvariantNotRun@internal/home/query.go@s/\tq.reached\+\+\n//@sent attempts are not counted
-TestInvariantNotRun@internal/home/reply.go@s/case leaf.NotSent\(e.err\):/case e.err != nil:/@every failed attempt counts as not sent
+TestInvariantNotRun@internal/home/query.go@s/\tq.maybeExecuted\+\+\n//@sent attempts are not counted
+TestInvariantNotRun@internal/home/reply.go@s/case leaf.NotSent\(r.err\):/case r.err != nil:/@every failed attempt counts as not sent
 TestInvariantNotRun@internal/entry/route.go@s/if mayHaveRun && reply.GetOutcome\(\) == callerpb.Outcome_NOT_RUN/if false/@an earlier forward to a lost home is forgotten
-TestInvariantNotRun@internal/entry/route.go@s/if len\(ask.GetTicket\(\)\) > 0 \{\n\t\treturn home.Unknown/if false {\n\t\treturn home.Unknown/@a refused resend is reported as not run
+TestInvariantNotRun@internal/entry/route.go@s/if len\(req.GetTicket\(\)\) > 0 \{\n\t\treturn home.Unknown/if false {\n\t\treturn home.Unknown/@a refused resend is reported as not run
 TestInvariantAtMostOnce@once/ledger.go@s/if t.Incarnation != l.incarnation \{/if t.Incarnation == 0 {/; s/!hmac.Equal\(t.MAC, l.key.sign\(t\)\)/!hmac.Equal(t.MAC, t.MAC)/@a later incarnation redeems a ticket
 TestInvariantAtMostOnce@once/ledger.go@s/(l.outcomes\[t.Sequence\] = e)/$1\n\tl.redeemed = map[uint64]*[pageBits \/ 64]uint64{}\n\tdelete(l.outcomes, t.Sequence)/@a redeemed ticket is forgotten
-TestInvariantAtMostOnce@internal/home/reply.go@s/if q.once && q.reached > 0 \{/if false {/@a lost attempt is retried
+TestInvariantAtMostOnce@internal/home/reply.go@s/if q.notRepeatable && q.maybeExecuted > 0 \{/if false {/@a lost attempt is retried
 TestInvariantDraining@internal/home/service.go@s/l.Leaving = leaving && /l.Leaving = false && leaving && /@facts about leaving leaves are ignored
 TestInvariantDraining@drain/registry.go@s/known.incarnation == 0 \|\| incarnation <= known.incarnation/known.incarnation == 0 || incarnation <= known.incarnation || address != ""/; s/FactTTL = 30/FactTTL = 300/@a restarted leaf stays excluded
 TestInvariantGracefulStop@internal/entry/view.go@s/m.State == member.Alive \{/m.State != member.Dead {/@services stay placed on leaving hosts
@@ -127,7 +127,7 @@
 TestStanding@quarantine/standing.go@s/if !h.servedAt.IsZero\(\) \{\n\t\ts.Standing = min/if false {\n\t\ts.Standing = min/@a request that was served is barred anyway
 TestBarAfterServedGraceIsPublished@internal/guard/guard.go@s/g.publishChanges\("time"\)/g.known.Store(int64(g.book.Len()))/@a bar that starts by passage of time is not announced
 TestBarFollowingRemovalOfAnotherIsPublished@quarantine/standing.go@s/\n\tb.updateRelated\([a-z.]+\)//g@a bar that starts as another ends is not announced
-TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.heardNews\(\)/q.trial.news = nil/@queries in flight are not notified of a bar
+TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.recheckBarred\(\)/q.quarantine.barredChanged = nil/@queries in flight are not notified of a bar
 TestTrialsLeaveShardsEnoughToServeOthers@internal/gateway/trial.go@s/running := q.running\(\)/running := t.shard >= 0 && q.state.Running(t.shard) > 0/@a trial starts while other calls are running
 TestQueryWithoutPartsIsNotHedgedEarly@internal/gateway/attempt.go@s/need.Hedge && q.holdsHedges\(now\)/false/@hedges are sent before any shard has answered
 TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.reportEnds\(now\) \/\/ A repeat.*//@peers are notified only after the trial
