--- a/admission/gate.go
+++ b/admission/gate.go
@@ -100,8 +100,8 @@
 	cost time.Duration
 }
 
-// Ask describes a request offered to a gate.
-type Ask struct {
+// Request describes a request offered to a gate.
+type Request struct {
 	// Rank is the rank of the class; 0 is the highest.
 	Rank uint32
 	// Objective is the time within which an answer has its full value.
@@ -112,11 +112,11 @@
 	Wait time.Duration
 }
 
-// Verdict is the decision of a gate on one request.
-type Verdict struct {
+// Decision is the decision of a gate on one request.
+type Decision struct {
 	Admitted bool
-	// Chance is the probability (0 to 1) with which the request was admitted.
-	Chance float64
+	// Probability is the probability (0 to 1) with which the request was admitted.
+	Probability float64
 	// RetryAfter is the delay after which a refused caller should try again.
 	RetryAfter time.Duration
 }
@@ -124,8 +124,8 @@
 // NewGate returns a gate that refuses nothing yet. rng draws admissions and jitter.
 func NewGate(rng *rand.Rand) *Gate { return &Gate{rng: rng} }
 
-// Ran records the server time that a request of the given rank used.
-func (g *Gate) Ran(rank uint32, cost time.Duration) {
+// ObserveCost records the server time that a request of the given rank used.
+func (g *Gate) ObserveCost(rank uint32, cost time.Duration) {
 	for _, r := range g.ranks {
 		if r.rank != rank {
 			continue
@@ -138,23 +138,23 @@
 }
 
 // Offer admits or refuses a request that arrives at now.
-func (g *Gate) Offer(ask Ask, now time.Time) Verdict {
+func (g *Gate) Offer(ask Request, now time.Time) Decision {
 	index := g.record(ask, now)
 	g.updateShare(ask.Wait, now)
 	p := g.admitProbability(index)
 	if p >= 1 || g.rng.Float64() < p {
-		return Verdict{Admitted: true, Chance: p}
+		return Decision{Admitted: true, Probability: p}
 	}
 	if now.Sub(g.lastRefusal) > overloadEnd {
 		g.overloadStart = now
 	}
 	g.lastRefusal = now
-	return Verdict{Chance: p, RetryAfter: g.retryAfter(ask, index, now)}
+	return Decision{Probability: p, RetryAfter: g.retryAfter(ask, index, now)}
 }
 
 // record adds a request to the offered work and returns the index of its rank. Ranks
 // without recent requests are dropped.
-func (g *Gate) record(ask Ask, now time.Time) int {
+func (g *Gate) record(ask Request, now time.Time) int {
 	g.ranks = slices.DeleteFunc(g.ranks, func(r *rankState) bool { return r.compare(ask) != 0 && now.Sub(r.lastAt) > rankExpiry })
 	i, known := slices.BinarySearchFunc(g.ranks, ask, (*rankState).compare)
 	if !known {
@@ -167,7 +167,7 @@
 }
 
 // compare orders a rank relative to that of a request; late ones come last.
-func (r *rankState) compare(ask Ask) int {
+func (r *rankState) compare(ask Request) int {
 	if r.late != ask.Late {
 		if r.late {
 			return 1
@@ -247,7 +247,7 @@
 // retryAfter returns the delay after which a refused caller should try again. An
 // overload is expected to last as long again as it has lasted so far; retries are
 // jittered over that time, and those of lower ranks are delayed further.
-func (g *Gate) retryAfter(ask Ask, index int, now time.Time) time.Duration {
+func (g *Gate) retryAfter(ask Request, index int, now time.Time) time.Duration {
 	shortest := max(time.Duration(minRetryShare*float64(ask.Objective)), minTarget)
 	delay := min(max(now.Sub(g.overloadStart), shortest), maxRetryDelay)
 	delay += time.Duration(g.rng.Float64() * float64(delay))
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -81,8 +81,8 @@
 		objective, work = lowObjective, lowWork
 	}
 	s.arrived[rank]++
-	v := gate.Offer(admission.Ask{Rank: rank, Objective: objective, Wait: s.history[observationDelay-1]}, s.now)
-	gate.Ran(rank, work)
+	v := gate.Offer(admission.Request{Rank: rank, Objective: objective, Wait: s.history[observationDelay-1]}, s.now)
+	gate.ObserveCost(rank, work)
 	if !v.Admitted {
 		s.refused = append(s.refused, v.RetryAfter)
 		return
@@ -172,7 +172,7 @@
 	for _, g := range s.gates {
 		chance := 0.0
 		for range 20 {
-			chance += g.Offer(admission.Ask{Objective: highObjective, Wait: s.queue}, s.now).Chance / 20
+			chance += g.Offer(admission.Request{Objective: highObjective, Wait: s.queue}, s.now).Probability / 20
 		}
 		low, high = min(low, chance), max(high, chance)
 	}
@@ -212,9 +212,9 @@
 	late, first := 0, 0
 	for i := range 4000 {
 		s.now = s.now.Add(time.Millisecond)
-		ask := admission.Ask{Objective: highObjective, Late: i%2 == 0, Wait: 30 * time.Millisecond}
+		ask := admission.Request{Objective: highObjective, Late: i%2 == 0, Wait: 30 * time.Millisecond}
 		admitted := g.Offer(ask, s.now).Admitted
-		g.Ran(0, highWork)
+		g.ObserveCost(0, highWork)
 		switch {
 		case !admitted || i < 3000:
 		case ask.Late:
@@ -233,15 +233,15 @@
 		now := time.Unix(1000, 0)
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(rt, "ms")) * time.Millisecond)
-			ask := admission.Ask{
+			ask := admission.Request{
 				Rank:      rapid.Uint32().Draw(rt, "rank"),
 				Objective: time.Duration(rapid.IntRange(0, 1000).Draw(rt, "objective")) * time.Millisecond,
 				Late:      rapid.Bool().Draw(rt, "late"),
 				Wait:      time.Duration(rapid.IntRange(0, 100000).Draw(rt, "wait")) * time.Millisecond,
 			}
 			v := g.Offer(ask, now)
-			g.Ran(ask.Rank, time.Duration(rapid.IntRange(0, 100).Draw(rt, "ran"))*time.Millisecond)
-			if !(v.Chance >= 0 && v.Chance <= 1) || v.RetryAfter < 0 || (!v.Admitted && v.RetryAfter <= 0) {
+			g.ObserveCost(ask.Rank, time.Duration(rapid.IntRange(0, 100).Draw(rt, "ran"))*time.Millisecond)
+			if !(v.Probability >= 0 && v.Probability <= 1) || v.RetryAfter < 0 || (!v.Admitted && v.RetryAfter <= 0) {
 				rt.Fatalf("Offer(%+v) = %+v", ask, v)
 			}
 		}
@@ -249,7 +249,7 @@
 }
 
 func TestPatienceInfersElapsedTime(t *testing.T) {
-	var p admission.Patience
+	var p admission.WaitEstimator
 	now := time.Unix(1000, 0)
 	assert.Equal(t, p.Waited(3*time.Second, now), time.Duration(0))
 	assert.Equal(t, p.Waited(2200*time.Millisecond, now.Add(time.Second)), 800*time.Millisecond)
@@ -262,7 +262,7 @@
 
 func ExampleGate() {
 	g := admission.NewGate(rand.New(rand.NewPCG(1, 1)))
-	v := g.Offer(admission.Ask{Objective: 200 * time.Millisecond}, time.Unix(1000, 0))
+	v := g.Offer(admission.Request{Objective: 200 * time.Millisecond}, time.Unix(1000, 0))
 	fmt.Println(v.Admitted)
 	// Output: true
 }
@@ -273,6 +273,6 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		now = now.Add(time.Millisecond)
-		g.Offer(admission.Ask{Rank: uint32(i % 2), Objective: 200 * time.Millisecond, Wait: 30 * time.Millisecond}, now)
+		g.Offer(admission.Request{Rank: uint32(i % 2), Objective: 200 * time.Millisecond, Wait: 30 * time.Millisecond}, now)
 	}
 }
--- a/admission/patience.go
+++ b/admission/patience.go
@@ -7,11 +7,11 @@
 	timeoutMemory = 10 * time.Second
 )
 
-// Patience infers how long callers have waited since their first attempt from the
+// WaitEstimator infers how long callers have waited since their first attempt from the
 // timeouts that they send: a caller that retries sends what remains of its original
 // timeout, which is taken to be the longest one seen recently. It is not safe for
 // concurrent use.
-type Patience struct {
+type WaitEstimator struct {
 	// longest is the longest recent timeout, seen at longestAt; next is the longest of
 	// those seen since then, at nextAt.
 	longest, next     time.Duration
@@ -19,7 +19,7 @@
 }
 
 // Waited records a caller's timeout and returns how long the caller has waited so far.
-func (p *Patience) Waited(timeout time.Duration, now time.Time) time.Duration {
+func (p *WaitEstimator) Waited(timeout time.Duration, now time.Time) time.Duration {
 	if now.Sub(p.longestAt) > timeoutMemory {
 		p.longest, p.longestAt = p.next, p.nextAt
 		p.next = 0
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -78,8 +78,8 @@
 	serviceByRank map[uint32]time.Duration
 }
 
-// New returns an empty queue that admits up to capacity requests at a time.
-func New(settings Settings, capacity int) *Queue {
+// NewQueue returns an empty queue that admits up to capacity requests at a time.
+func NewQueue(settings Settings, capacity int) *Queue {
 	return &Queue{settings: settings, capacity: capacity, waitingByRank: map[uint32]int{}, serviceByRank: map[uint32]time.Duration{}}
 }
 
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -24,7 +24,7 @@
 // One stalled request, as when the host freezes, must not make the queue refuse all
 // later requests as too late.
 func TestOneStallDoesNotCloseTheQueue(t *testing.T) {
-	q := admission.New(settings(), 4)
+	q := admission.NewQueue(settings(), 4)
 	for range 100 {
 		refusal, _ := q.Offer(item(0, time.Second, func() {}), start)
 		assert.Equal(t, refusal, admission.Accepted)
@@ -41,7 +41,7 @@
 // An idle queue accepts a request whatever the estimate says, so that a wrong estimate
 // is corrected.
 func TestIdleQueueRecovers(t *testing.T) {
-	q := admission.New(settings(), 4)
+	q := admission.NewQueue(settings(), 4)
 	for range 100 {
 		_, _ = q.Offer(item(0, time.Hour, func() {}), start)
 		q.Admit()
@@ -65,7 +65,7 @@
 func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		capacity := rapid.IntRange(1, 5).Draw(rt, "capacity")
-		q := admission.New(admission.Settings{Length: 4}, capacity)
+		q := admission.NewQueue(admission.Settings{Length: 4}, capacity)
 		m := &model{}
 		rt.Repeat(map[string]func(*rapid.T){
 			"offer": func(rt *rapid.T) {
@@ -132,7 +132,7 @@
 // Long service times of a lower class must not cause requests of the highest class to be
 // refused as too late.
 func TestEstimatesAreByClass(t *testing.T) {
-	q := admission.New(settings(), 4)
+	q := admission.NewQueue(settings(), 4)
 	for range 100 {
 		for rank, ran := range map[uint32]time.Duration{0: 20 * time.Millisecond, 2: 700 * time.Millisecond} {
 			_, _ = q.Offer(item(rank, time.Hour, func() {}), start)
@@ -147,7 +147,7 @@
 }
 
 func TestFloorPreventsStarvationOfTheLowestClass(t *testing.T) {
-	q := admission.New(admission.Settings{Length: 1000, FloorShare: 0.125}, 1)
+	q := admission.NewQueue(admission.Settings{Length: 1000, FloorShare: 0.125}, 1)
 	lowest := 0
 	for range 20 {
 		_, _ = q.Offer(item(3, time.Hour, func() { lowest++ }), start)
@@ -161,7 +161,7 @@
 }
 
 func ExampleQueue() {
-	q := admission.New(admission.Settings{Length: 10}, 1)
+	q := admission.NewQueue(admission.Settings{Length: 10}, 1)
 	now := time.Unix(0, 0)
 	for _, rank := range []uint32{2, 0, 1} {
 		_, _ = q.Offer(&admission.Item{
@@ -180,7 +180,7 @@
 }
 
 func BenchmarkOfferAdmit(b *testing.B) {
-	q := admission.New(admission.Settings{Length: 64}, 8)
+	q := admission.NewQueue(admission.Settings{Length: 64}, 8)
 	b.ReportAllocs()
 	it := item(1, time.Hour, func() {})
 	for b.Loop() {
--- a/cmd/mallowgap/entry.go
+++ b/cmd/mallowgap/entry.go
@@ -41,11 +41,11 @@
 		return err
 	}
 	defer func() { _ = client.Close() }()
-	leafs := leaf.NewGRPC(identityIf(identity, file.GetTls().GetLeaves()).ClientCredentials())
+	leafs := leaf.NewGRPCClient(identityIf(identity, file.GetTls().GetLeaves()).ClientCredentials())
 	defer leafs.Close()
-	peers := peer.NewDRPC(file.GetTraffic().GetForwardTimeout().AsDuration(), identity)
+	peers := peer.NewDRPCClient(file.GetTraffic().GetForwardTimeout().AsDuration(), identity)
 	defer func() { _ = peers.Close() }()
-	edges := entry.Edges{Store: client, Hosts: client, Leafs: leafs, Peers: peers, Identity: identity}
+	edges := entry.Dependencies{Store: client, Hosts: client, Leaves: leafs, Peers: peers, Identity: identity}
 	incarnation := uint64(time.Now().UnixNano())
 	return entry.New(file, edges, incarnation, log).Run(stopSignal())
 }
--- a/cmd/mallowgap/explain.go
+++ b/cmd/mallowgap/explain.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return err
 		}
-		if err := explain.ProfileOf(lines).Write(os.Stdout); err != nil {
+		if err := explain.NewProfile(lines).Write(os.Stdout); err != nil {
 			return err
 		}
 		fmt.Println()
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		return explain.QuarantineOf(lines).Write(os.Stdout)
+		return explain.NewQuarantineSummary(lines).Write(os.Stdout)
 	}
 	if len(c.Args.Words) < 2 {
 		return errNoLog
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	return explain.Of(lines, c.Args.Words[0]).Write(os.Stdout)
+	return explain.HistoryOf(lines, c.Args.Words[0]).Write(os.Stdout)
 }
 
 func readLogs(paths []string) ([]explain.Line, error) {
--- a/cmd/mallowgap/gateway.go
+++ b/cmd/mallowgap/gateway.go
@@ -54,11 +54,11 @@
 		return fmt.Errorf("[log] level: %w", err)
 	}
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(file.GetHost().GetMemoryMb()<<20)))
-	leafs := platform.NewLeafs()
-	peers := peer.NewDRPC(peerDialTimeout, nil)
+	leafs := platform.NewLeafClient()
+	peers := peer.NewDRPCClient(peerDialTimeout, nil)
 	defer func() { _ = peers.Close() }()
-	g := gateway.New(file, gateway.Edges{
-		Store: platform.NewStore(file.GetStore().GetAddress(), file.GetStore().GetCallTimeout().AsDuration()), Leafs: leafs, Peers: peers,
+	g := gateway.New(file, gateway.Adapters{
+		Store: platform.NewStore(file.GetStore().GetAddress(), file.GetStore().GetCallTimeout().AsDuration()), Backends: leafs, Peers: peers,
 	}, log)
 	go checkSettingsOnHangup(path, log)
 	return g.Run(stopSignal(), gateway.Handlers{
--- a/cmd/mallowgap/load.go
+++ b/cmd/mallowgap/load.go
@@ -32,7 +32,7 @@
 	if err := settings.Load(c.Args.File, scenario); err != nil {
 		return err
 	}
-	targets := load.Targets{Entries: c.Entries, Ready: c.Ready, LeafControls: c.Leaves, PlatformControl: c.Platform}
+	targets := load.Targets{Entries: c.Entries, ReadyAddresses: c.Ready, LeafControls: c.Leaves, PlatformControl: c.Platform}
 	if len(c.Entries) == 0 && c.Direct == "" {
 		return errors.New("no target: give --entry, or --direct with a configuration")
 	}
@@ -54,9 +54,9 @@
 			return err
 		}
 	}
-	violations := report.Wrong()
+	violations := report.Mismatches()
 	if c.Verify {
-		found, err := load.Verify(ctx, targets, report.Told)
+		found, err := load.Verify(ctx, targets, report.Outcomes)
 		if err != nil {
 			return err
 		}
@@ -65,9 +65,9 @@
 	for _, v := range violations {
 		fmt.Println("violation:", v)
 	}
-	fmt.Printf("violations: %d, cut off: %d\n", len(violations), report.Cut())
-	if len(violations) > 0 || (report.Cut() > 0 && !c.Lost) {
-		return fmt.Errorf("%d violations and %d requests without a reply", len(violations), report.Cut())
+	fmt.Printf("violations: %d, cut off: %d\n", len(violations), report.NoReply())
+	if len(violations) > 0 || (report.NoReply() > 0 && !c.Lost) {
+		return fmt.Errorf("%d violations and %d requests without a reply", len(violations), report.NoReply())
 	}
 	return nil
 }
--- a/cmd/mallowgap/quarantine.go
+++ b/cmd/mallowgap/quarantine.go
@@ -60,22 +60,22 @@
 	}
 	book := quarantine.NewBook("")
 	for _, e := range records {
-		if _, err := guard.LearnRecord(book, e, time.Now()); err != nil {
+		if _, err := guard.ApplyEntryTo(book, e, time.Now()); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "fingerprint\tstanding\tservers ended\tlast\tseen by\ttrials\tversions\trequest")
 	for _, s := range book.Summaries() {
-		_, _ = fmt.Fprintf(t, "%v\t%v\t%d\t%s\t%s\t%d\t%s\t%s\n", s.Fingerprint, s.Standing, s.Ended, time.UnixMilli(s.At).UTC().Format(time.RFC3339),
-			strings.Join(s.Hosts, ","), s.Claims, strings.Join(s.Versions, ","), s.What)
+		_, _ = fmt.Fprintf(t, "%v\t%v\t%d\t%s\t%s\t%d\t%s\t%s\n", s.Fingerprint, s.Standing, s.Crashes, time.UnixMilli(s.LastCrash).UTC().Format(time.RFC3339),
+			strings.Join(s.Hosts, ","), s.Claims, strings.Join(s.Versions, ","), s.Description)
 	}
 	return t.Flush()
 }
 
 // Execute removes the records of all hosts about a request.
 func (c *clearQuarantineCommand) Execute([]string) error {
-	f, err := quarantine.Parse(c.Args.Fingerprint)
+	f, err := quarantine.ParseFingerprint(c.Args.Fingerprint)
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	}
 	var names []string
 	for _, e := range records {
-		if name, err := quarantine.ParseName(e.Name); err == nil && name.Fingerprint == f {
+		if name, err := quarantine.ParseRecordKey(e.Name); err == nil && name.Fingerprint == f {
 			names = append(names, e.Name)
 		}
 	}
--- a/cmd/mallowgap/quarantine_test.go
+++ b/cmd/mallowgap/quarantine_test.go
@@ -18,7 +18,7 @@
 // Clearing removes the records of one fingerprint only; a fingerprint without
 // records or with bad syntax is an error.
 func TestQuarantineIsClearedByHand(t *testing.T) {
-	one, other := quarantine.Of(quarantine.Content{Target: "/one"}), quarantine.Of(quarantine.Content{Target: "/other"})
+	one, other := quarantine.FingerprintOf(quarantine.Content{Target: "/one"}), quarantine.FingerprintOf(quarantine.Content{Target: "/other"})
 	value, err := proto.Marshal(&relaypb.QuarantineRecord{Servers: []string{"a", "b", "c"}, Ended: 3, TrialServers: []string{"b", "c"}})
 	assert.NilError(t, err)
 	var removed []string
@@ -33,7 +33,7 @@
 			return
 		}
 		var items []map[string]any
-		for _, name := range []string{quarantine.RecordName(one, "h1"), quarantine.RecordName(one, "h2"), quarantine.RecordName(other, "h1"), "odd"} {
+		for _, name := range []string{quarantine.RecordKeyFor(one, "h1"), quarantine.RecordKeyFor(one, "h2"), quarantine.RecordKeyFor(other, "h1"), "odd"} {
 			items = append(items, map[string]any{"key": "mallowgap/quarantine/" + name, "value": value, "rev": 1})
 		}
 		assert.Check(t, json.NewEncoder(w).Encode(map[string]any{"items": items, "as_of": 5}) == nil)
@@ -45,9 +45,9 @@
 	clearOne := &clearQuarantineCommand{storeTarget: target}
 	clearOne.Args.Fingerprint = one.String()
 	assert.NilError(t, clearOne.Execute(nil))
-	assert.DeepEqual(t, removed, []string{"mallowgap/quarantine/" + quarantine.RecordName(one, "h1"), "mallowgap/quarantine/" + quarantine.RecordName(one, "h2")})
+	assert.DeepEqual(t, removed, []string{"mallowgap/quarantine/" + quarantine.RecordKeyFor(one, "h1"), "mallowgap/quarantine/" + quarantine.RecordKeyFor(one, "h2")})
 
-	clearOne.Args.Fingerprint = quarantine.Of(quarantine.Content{Target: "/none"}).String()
+	clearOne.Args.Fingerprint = quarantine.FingerprintOf(quarantine.Content{Target: "/none"}).String()
 	assert.ErrorContains(t, clearOne.Execute(nil), "no quarantine record")
 	clearOne.Args.Fingerprint = "odd"
 	assert.ErrorContains(t, clearOne.Execute(nil), "no fingerprint")
--- a/cmd/mallowgap/standin.go
+++ b/cmd/mallowgap/standin.go
@@ -71,7 +71,7 @@
 	}
 	for i := range d.Services {
 		if c.Service > 0 {
-			d.Services[i].Service = c.Service
+			d.Services[i].ServiceTime = c.Service
 		}
 	}
 	faults := &platformpb.LeafFaults{}
--- a/config/editor.go
+++ b/config/editor.go
@@ -57,8 +57,8 @@
 // nothing. An earlier call for the same change may still have taken effect.
 var ErrUnavailable = errors.New("the store is unreachable and this call changed nothing: apply again later with the same change_id; the current configuration is kept")
 
-// ErrUnknown reports that a change was sent to the store but its outcome is unknown.
-var ErrUnknown = errors.New("the change was sent but its outcome is unknown: apply again with the same change_id to find out")
+// ErrOutcomeUnknown reports that a change was sent to the store but its outcome is unknown.
+var ErrOutcomeUnknown = errors.New("the change was sent but its outcome is unknown: apply again with the same change_id to find out")
 
 // PartKey returns the store key of a part.
 func PartKey(d Digest) string { return fmt.Sprintf("%s%x", PartPrefix, d[:]) }
@@ -120,7 +120,7 @@
 }
 
 // Apply stores next as the successor of revision expect and returns its revision.
-// Errors are an *InvalidError, a *ConflictError, ErrUnavailable or ErrUnknown.
+// Errors are an *InvalidError, a *ConflictError, ErrUnavailable or ErrOutcomeUnknown.
 // Apply is idempotent by changeID, also across hosts: a change that was accepted
 // before returns the revision it was given then.
 func (e *Editor) Apply(ctx context.Context, expect uint64, changeID string, next *configpb.Config) (uint64, error) {
@@ -247,7 +247,7 @@
 		return err
 	})
 	if err != nil {
-		return 0, fmt.Errorf("%w (%v)", ErrUnknown, err)
+		return 0, fmt.Errorf("%w (%v)", ErrOutcomeUnknown, err)
 	}
 	if swapped {
 		return expect + 1, nil
@@ -263,7 +263,7 @@
 		return err
 	})
 	if err != nil {
-		return 0, fmt.Errorf("%w (%v)", ErrUnknown, err)
+		return 0, fmt.Errorf("%w (%v)", ErrOutcomeUnknown, err)
 	}
 	if revision, ok := acceptedRevision(head, changeID); ok {
 		return revision, nil
@@ -278,7 +278,7 @@
 func staleRevisionError(expect uint64, head *configpb.Head) error {
 	if head.GetRevision() > expect+maxRecentChanges {
 		return fmt.Errorf("%w, or compare with the current configuration: %d changes were made since, more than the head keeps",
-			ErrUnknown, head.GetRevision()-expect)
+			ErrOutcomeUnknown, head.GetRevision()-expect)
 	}
 	return newConflict(expect, head)
 }
--- a/config/editor_test.go
+++ b/config/editor_test.go
@@ -54,7 +54,7 @@
 		p := platformfake.New()
 		p.DelayWrites(config.HeadKey, 1000)
 		_, err := applyFor(editor(p), time.Second, 0, "late")
-		assert.Assert(t, errors.Is(err, config.ErrUnknown))
+		assert.Assert(t, errors.Is(err, config.ErrOutcomeUnknown))
 		p.DelayWrites(config.HeadKey, 0)
 		_, err = applyFor(editor(p), time.Second, 0, "other")
 		assert.NilError(t, err)
@@ -81,7 +81,7 @@
 			assert.NilError(t, err)
 		}
 		_, err = applyFor(editor(p), time.Second, 0, "first")
-		assert.Assert(t, errors.Is(err, config.ErrUnknown))
+		assert.Assert(t, errors.Is(err, config.ErrOutcomeUnknown))
 	})
 }
 
@@ -117,7 +117,7 @@
 		c.Revision = revision
 		head, parts, err := config.Split(c)
 		assert.NilError(t, err)
-		applied, err := h.Offer(head, parts)
+		applied, err := h.Install(head, parts)
 		assert.NilError(t, err)
 		assert.Equal(t, applied, revision != 2)
 	}
@@ -132,7 +132,7 @@
 		c.Revision = revision + 1
 		head, parts, err := config.Split(c)
 		assert.NilError(t, err)
-		_, err = h.Offer(head, parts)
+		_, err = h.Install(head, parts)
 		assert.NilError(t, err)
 		if before != nil {
 			assert.Assert(t, before == h.Config().GetServices()[0])
--- a/config/holder.go
+++ b/config/holder.go
@@ -34,9 +34,9 @@
 	return b, ok
 }
 
-// Lacking returns the digests of the parts that must be fetched before head can
+// MissingParts returns the digests of the parts that must be fetched before head can
 // be passed to Offer. It returns none if head is not newer than the current one.
-func (h *Holder) Lacking(head *configpb.Head) ([]Digest, error) {
+func (h *Holder) MissingParts(head *configpb.Head) ([]Digest, error) {
 	if head.GetRevision() <= h.Revision() {
 		return nil, nil
 	}
@@ -53,9 +53,9 @@
 	return missing, nil
 }
 
-// Offer makes head the current one if it is newer, and reports whether it did.
+// Install makes head the current one if it is newer, and reports whether it did.
 // fetched contains the parts that Lacking returned.
-func (h *Holder) Offer(head *configpb.Head, fetched Parts) (bool, error) {
+func (h *Holder) Install(head *configpb.Head, fetched Parts) (bool, error) {
 	if head.GetRevision() <= h.Revision() {
 		return false, nil
 	}
--- a/config/parts.go
+++ b/config/parts.go
@@ -12,8 +12,8 @@
 // Digest is the SHA-256 hash of an encoded part, by which the part is identified.
 type Digest [sha256.Size]byte
 
-// ToDigest converts a byte slice to a digest.
-func ToDigest(b []byte) (Digest, error) {
+// DigestFromBytes converts a byte slice to a digest.
+func DigestFromBytes(b []byte) (Digest, error) {
 	var d Digest
 	if len(b) != len(d) {
 		return d, fmt.Errorf("digest has %d bytes, want %d: the head was written by another version of mallowgap", len(b), len(d))
@@ -59,7 +59,7 @@
 	names := append([][]byte{head.GetDesksPart()}, head.GetServiceParts()...)
 	digests := make([]Digest, 0, len(names))
 	for _, name := range names {
-		d, err := ToDigest(name)
+		d, err := DigestFromBytes(name)
 		if err != nil {
 			return nil, err
 		}
@@ -89,7 +89,7 @@
 }
 
 func (p Parts) decode(name []byte, m proto.Message) error {
-	digest, err := ToDigest(name)
+	digest, err := DigestFromBytes(name)
 	if err != nil {
 		return err
 	}
--- a/discovery/doc.go
+++ b/discovery/doc.go
@@ -2,7 +2,7 @@
 //
 // Invariant: a server whose registration is removed from the store gets no more
 // requests. The exception is a registration that disappears during an outage of the
-// store or within ReturnGrace after it. It is kept until ReturnGrace has passed,
+// store or within ReregistrationGrace after it. It is kept until ReregistrationGrace has passed,
 // because registrations expire in an outage although their servers are alive, and
 // are renewed afterwards.
 //
--- a/discovery/registry.go
+++ b/discovery/registry.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// ReturnGrace is how long after an outage of the store lapsed entries are kept.
+// ReregistrationGrace is how long after an outage of the store lapsed entries are kept.
 // Servers are expected to register again within about two seconds.
-const ReturnGrace = 2200 * time.Millisecond
+const ReregistrationGrace = 2200 * time.Millisecond
 
 // Server is a running server as described by its registration.
 type Server struct {
@@ -27,13 +27,13 @@
 	Slots int
 	// Draining is set if the server finishes its requests and gets no new ones.
 	Draining bool
-	// Cold is the time from registration until the server has warmed up.
-	Cold time.Duration
+	// ColdDuration is the time from registration until the server has warmed up.
+	ColdDuration time.Duration
 	// ColdUntil is when the server has warmed up; the zero time means that it is warm.
 	// It is set by the registry.
 	ColdUntil time.Time
-	// Born is the start time of the process in Unix milliseconds; 0 means unknown.
-	Born int64
+	// StartedAtMillis is the start time of the process in Unix milliseconds; 0 means unknown.
+	StartedAtMillis int64
 	// Evacuated is set if the failure domain of the server gets no requests. It is set
 	// by the registry.
 	Evacuated bool
@@ -41,12 +41,14 @@
 
 // Replaces reports whether s is a later process than other under the same identifier.
 // It returns false if either start time is unknown.
-func (s Server) Replaces(other Server) bool { return s.Born > other.Born && other.Born > 0 }
+func (s Server) Replaces(other Server) bool {
+	return s.StartedAtMillis > other.StartedAtMillis && other.StartedAtMillis > 0
+}
 
 type entry struct {
 	server Server
 	// lapsed is set if the registration disappeared during an outage of the store or
-	// within ReturnGrace after it.
+	// within ReregistrationGrace after it.
 	lapsed bool
 }
 
@@ -55,7 +57,7 @@
 type Registry struct {
 	entries   map[string]*entry
 	storeDown bool
-	// graceUntil is ReturnGrace after the end of the last outage of the store.
+	// graceUntil is ReregistrationGrace after the end of the last outage of the store.
 	graceUntil time.Time
 	loaded     bool
 	// evacuated is the set of failure domains that get no requests.
@@ -73,14 +75,14 @@
 // StoreLost records that the store is unavailable.
 func (r *Registry) StoreLost() { r.storeDown = true }
 
-// StoreRegained records that the store is available, and reports whether it was
+// StoreRecovered records that the store is available, and reports whether it was
 // unavailable before.
-func (r *Registry) StoreRegained(now time.Time) bool {
+func (r *Registry) StoreRecovered(now time.Time) bool {
 	if !r.storeDown {
 		return false
 	}
 	r.storeDown = false
-	r.graceUntil = now.Add(ReturnGrace)
+	r.graceUntil = now.Add(ReregistrationGrace)
 	return true
 }
 
@@ -89,16 +91,16 @@
 // attributed to the known process.
 func (r *Registry) Put(server Server, now time.Time) bool {
 	if known, ok := r.entries[server.ID]; ok {
-		if server.Born == 0 {
-			server.Born = known.server.Born
+		if server.StartedAtMillis == 0 {
+			server.StartedAtMillis = known.server.StartedAtMillis
 		}
 		if known.server.Replaces(server) {
 			return false
 		}
 	}
 	server.ColdUntil = time.Time{}
-	if server.Cold > 0 {
-		server.ColdUntil = now.Add(server.Cold)
+	if server.ColdDuration > 0 {
+		server.ColdUntil = now.Add(server.ColdDuration)
 	}
 	r.entries[server.ID] = &entry{server: server}
 	return true
@@ -146,7 +148,7 @@
 }
 
 // Remove removes a server whose registration is no longer in the store, and reports
-// whether it did. During an outage of the store and for ReturnGrace after it, the
+// whether it did. During an outage of the store and for ReregistrationGrace after it, the
 // server is kept and only marked as lapsed.
 func (r *Registry) Remove(id string, now time.Time) bool {
 	e, ok := r.entries[id]
@@ -161,10 +163,10 @@
 	return true
 }
 
-// Complete records that all registrations have been read.
-func (r *Registry) Complete() { r.loaded = true }
+// MarkLoaded records that all registrations have been read.
+func (r *Registry) MarkLoaded() { r.loaded = true }
 
-// Expire removes the lapsed entries that were not registered again within ReturnGrace,
+// Expire removes the lapsed entries that were not registered again within ReregistrationGrace,
 // and returns their servers.
 func (r *Registry) Expire(now time.Time) []Server {
 	if r.storeDown || now.Before(r.graceUntil) {
@@ -180,9 +182,9 @@
 	return expired
 }
 
-// Slept moves the times of the registry earlier by d, the time that the machine was
+// AddSuspension moves the times of the registry earlier by d, the time that the machine was
 // suspended and that its monotonic clock did not count.
-func (r *Registry) Slept(d time.Duration) {
+func (r *Registry) AddSuspension(d time.Duration) {
 	if !r.graceUntil.IsZero() {
 		r.graceUntil = r.graceUntil.Add(-d)
 	}
--- a/discovery/registry_test.go
+++ b/discovery/registry_test.go
@@ -38,16 +38,16 @@
 	put(r, "a", "b", "c")
 	r.StoreLost()
 	regained := start.Add(10 * time.Second)
-	assert.Assert(t, r.StoreRegained(regained))
+	assert.Assert(t, r.StoreRecovered(regained))
 	r.Remove("a", regained)
 	r.Remove("b", regained)
 	assert.DeepEqual(t, ids(r), []string{"a", "b", "c"})
 	r.Put(discovery.Server{ID: "a"}, regained)
 	assert.Equal(t, len(r.Expire(regained.Add(time.Second))), 0)
-	expired := r.Expire(regained.Add(discovery.ReturnGrace))
+	expired := r.Expire(regained.Add(discovery.ReregistrationGrace))
 	assert.Equal(t, len(expired), 1)
 	assert.DeepEqual(t, ids(r), []string{"a", "c"})
-	r.Remove("c", regained.Add(discovery.ReturnGrace))
+	r.Remove("c", regained.Add(discovery.ReregistrationGrace))
 	assert.DeepEqual(t, ids(r), []string{"a"})
 }
 
@@ -55,8 +55,8 @@
 // successor under the same identifier.
 func TestLaterProcessUnderTheSameIdentifier(t *testing.T) {
 	r := discovery.NewRegistry()
-	first := discovery.Server{ID: "a", Service: "old", Born: 1000}
-	second := discovery.Server{ID: "a", Service: "new", Born: 2000}
+	first := discovery.Server{ID: "a", Service: "old", StartedAtMillis: 1000}
+	second := discovery.Server{ID: "a", Service: "new", StartedAtMillis: 2000}
 	assert.Assert(t, r.Put(first, start) && r.Put(second, start))
 	assert.Assert(t, second.Replaces(first) && !first.Replaces(second) && !second.Replaces(second))
 	assert.Assert(t, !r.Put(first, start), "registration of an earlier process")
@@ -64,7 +64,7 @@
 	assert.Equal(t, s.Service, "new")
 	assert.Assert(t, r.Put(discovery.Server{ID: "a", Service: "newer"}, start), "registration without a start time")
 	s, _ = r.Server("a")
-	assert.Assert(t, s.Service == "newer" && s.Born == 2000)
+	assert.Assert(t, s.Service == "newer" && s.StartedAtMillis == 2000)
 	assert.Assert(t, !s.Replaces(discovery.Server{ID: "a"}), "unknown start time of the other process")
 }
 
@@ -95,7 +95,7 @@
 
 func TestColdTimeCountsFromTheRegistration(t *testing.T) {
 	r := discovery.NewRegistry()
-	r.Put(discovery.Server{ID: "a", Cold: 2 * time.Second}, start)
+	r.Put(discovery.Server{ID: "a", ColdDuration: 2 * time.Second}, start)
 	assert.Equal(t, r.Servers()[0].ColdUntil, start.Add(2*time.Second))
 	r.Put(discovery.Server{ID: "a"}, start.Add(time.Second))
 	assert.Assert(t, r.Servers()[0].ColdUntil.IsZero())
--- a/drain/registry.go
+++ b/drain/registry.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// FactTTL is the time after its last confirmation at which a fact expires.
-	FactTTL = 30 * time.Second
+	// NoticeTTL is the time after its last confirmation at which a fact expires.
+	NoticeTTL = 30 * time.Second
 	// minExtension is the least extension of a fact's expiry at which a confirmation is
 	// announced again.
-	minExtension = FactTTL / 3
+	minExtension = NoticeTTL / 3
 	// announceTime is how long a new or extended fact is sent with heartbeats.
 	announceTime = 5 * time.Second
 )
 
-// Fact states that one incarnation of a server is leaving.
-type Fact struct {
+// Notice states that one incarnation of a server is leaving.
+type Notice struct {
 	Address string
 	// Incarnation is the incarnation of the server; 0 means the one currently running.
 	Incarnation uint64
@@ -43,12 +43,12 @@
 	return &Registry{records: map[string]record{}}
 }
 
-// Learn records a fact and reports whether it was new. A fact about an earlier incarnation
+// Add records a fact and reports whether it was new. A fact about an earlier incarnation
 // than the known one is ignored, as is a confirmation that extends the expiry by less than
 // minExtension.
-func (r *Registry) Learn(fact Fact, now time.Time) bool {
+func (r *Registry) Add(fact Notice, now time.Time) bool {
 	known, ok := r.records[fact.Address]
-	expires := now.Add(min(fact.TTL, FactTTL))
+	expires := now.Add(min(fact.TTL, NoticeTTL))
 	if ok && fact.Incarnation < known.incarnation {
 		return false
 	}
@@ -97,24 +97,24 @@
 	return known.incarnation, true
 }
 
-// Announce returns the facts to send to other hosts, ordered by address.
-func (r *Registry) Announce(now time.Time) []Fact {
+// Pending returns the facts to send to other hosts, ordered by address.
+func (r *Registry) Pending(now time.Time) []Notice {
 	return r.facts(func(k record) bool { return now.Before(k.announceUntil) }, now)
 }
 
 // All returns every fact that has not expired, ordered by address.
-func (r *Registry) All(now time.Time) []Fact {
+func (r *Registry) All(now time.Time) []Notice {
 	return r.facts(func(record) bool { return true }, now)
 }
 
 // facts returns the unexpired facts that keep accepts, ordered by address.
-func (r *Registry) facts(keep func(record) bool, now time.Time) []Fact {
-	var facts []Fact
+func (r *Registry) facts(keep func(record) bool, now time.Time) []Notice {
+	var facts []Notice
 	for address, known := range r.records {
 		if keep(known) && now.Before(known.expires) {
-			facts = append(facts, Fact{Address: address, Incarnation: known.incarnation, TTL: known.expires.Sub(now)})
+			facts = append(facts, Notice{Address: address, Incarnation: known.incarnation, TTL: known.expires.Sub(now)})
 		}
 	}
-	slices.SortFunc(facts, func(a, b Fact) int { return strings.Compare(a.Address, b.Address) })
+	slices.SortFunc(facts, func(a, b Notice) int { return strings.Compare(a.Address, b.Address) })
 	return facts
 }
--- a/drain/registry_test.go
+++ b/drain/registry_test.go
@@ -12,16 +12,16 @@
 
 var start = time.Unix(1000, 0)
 
-// A fact expires FactTTL after its last confirmation.
+// A fact expires NoticeTTL after its last confirmation.
 func TestFactExpiresUnlessConfirmed(t *testing.T) {
 	r := drain.NewRegistry()
-	fact := drain.Fact{Address: "a", Incarnation: 5, TTL: drain.FactTTL}
-	assert.Assert(t, r.Learn(fact, start))
-	assert.Assert(t, !r.Learn(fact, start.Add(time.Second)), "a repeated fact is not new")
-	assert.Equal(t, len(r.Announce(start)), 1)
-	assert.Equal(t, len(r.Announce(start.Add(6*time.Second))), 0, "the announcement time is over")
-	r.Learn(fact, start.Add(20*time.Second))
-	assert.Equal(t, len(r.Announce(start.Add(21*time.Second))), 1, "a confirmation is announced")
+	fact := drain.Notice{Address: "a", Incarnation: 5, TTL: drain.NoticeTTL}
+	assert.Assert(t, r.Add(fact, start))
+	assert.Assert(t, !r.Add(fact, start.Add(time.Second)), "a repeated fact is not new")
+	assert.Equal(t, len(r.Pending(start)), 1)
+	assert.Equal(t, len(r.Pending(start.Add(6*time.Second))), 0, "the announcement time is over")
+	r.Add(fact, start.Add(20*time.Second))
+	assert.Equal(t, len(r.Pending(start.Add(21*time.Second))), 1, "a confirmation is announced")
 	_, leaving := r.Leaving("a", start.Add(40*time.Second))
 	assert.Assert(t, leaving)
 	_, leaving = r.Leaving("a", start.Add(51*time.Second))
@@ -32,7 +32,7 @@
 // A server that has restarted is not leaving.
 func TestNewIncarnationIsNotLeaving(t *testing.T) {
 	r := drain.NewRegistry()
-	r.Learn(drain.Fact{Address: "a", Incarnation: 5, TTL: drain.FactTTL}, start)
+	r.Add(drain.Notice{Address: "a", Incarnation: 5, TTL: drain.NoticeTTL}, start)
 	assert.Assert(t, !r.Started("a", 5))
 	assert.Assert(t, r.Started("a", 6))
 	_, leaving := r.Leaving("a", start)
@@ -42,25 +42,25 @@
 // Two hosts that announce a fact to each other do not keep extending its expiry.
 func TestFactExchangedBetweenHostsExpires(t *testing.T) {
 	a, b := drain.NewRegistry(), drain.NewRegistry()
-	a.Learn(drain.Fact{Address: "x", Incarnation: 1, TTL: drain.FactTTL}, start)
+	a.Add(drain.Notice{Address: "x", Incarnation: 1, TTL: drain.NoticeTTL}, start)
 	now := start
 	for range 1000 {
 		now = now.Add(100 * time.Millisecond)
-		for _, f := range a.Announce(now) {
-			b.Learn(f, now.Add(10*time.Millisecond))
+		for _, f := range a.Pending(now) {
+			b.Add(f, now.Add(10*time.Millisecond))
 		}
-		for _, f := range b.Announce(now) {
-			a.Learn(f, now.Add(10*time.Millisecond))
+		for _, f := range b.Pending(now) {
+			a.Add(f, now.Add(10*time.Millisecond))
 		}
 	}
-	_, leaving := a.Leaving("x", start.Add(drain.FactTTL+2*time.Second))
+	_, leaving := a.Leaving("x", start.Add(drain.NoticeTTL+2*time.Second))
 	assert.Assert(t, !leaving)
 }
 
 func ExampleRegistry() {
 	r := drain.NewRegistry()
 	now := time.Unix(0, 0)
-	r.Learn(drain.Fact{Address: "10.0.0.1:7000", Incarnation: 1, TTL: drain.FactTTL}, now)
+	r.Add(drain.Notice{Address: "10.0.0.1:7000", Incarnation: 1, TTL: drain.NoticeTTL}, now)
 	_, leaving := r.Leaving("10.0.0.1:7000", now)
 	fmt.Println(leaving)
 	r.Started("10.0.0.1:7000", 2)
--- a/examples/embed/main.go
+++ b/examples/embed/main.go
@@ -45,7 +45,7 @@
 		leaves[i] = &replica.Leaf{Address: fmt.Sprint("worker-", i), Slots: limit.NewSlots(slots)}
 	}
 	return &runner{
-		queue:   admission.New(admission.Settings{Length: 100, FloorShare: 0.05}, workers*slots),
+		queue:   admission.NewQueue(admission.Settings{Length: 100, FloorShare: 0.05}, workers*slots),
 		workers: replica.NewSet(leaves, replica.Observed, rng),
 		budget:  retry.NewBudget(0.1, 3),
 		rng:     rng,
--- a/fanout/extra.go
+++ b/fanout/extra.go
@@ -16,11 +16,11 @@
 	minExtraShare    = 0.5
 )
 
-// ExtraShare returns the share (0 to 1) of the retry budget up to which the query
+// RetryBudgetShare returns the share (0 to 1) of the retry budget up to which the query
 // may make extra attempts at now. When the budget is short, it favors queries
 // that need few more shards to reach MinShare in time; attempts in flight count
 // as successful.
-func (q *Query) ExtraShare(now time.Time) float64 {
+func (q *Query) RetryBudgetShare(now time.Time) float64 {
 	if !now.Before(q.settings.AnswerAt) {
 		return overdueShare
 	}
@@ -43,5 +43,5 @@
 			expected++
 		}
 	}
-	return q.Needed() - expected
+	return q.MinShards() - expected
 }
--- a/fanout/query.go
+++ b/fanout/query.go
@@ -18,8 +18,8 @@
 	// AnswerAt is when an answer that covers MinShare is returned without waiting
 	// for the remaining shards.
 	AnswerAt time.Time
-	// End is the deadline, at which the query ends with or without an answer.
-	End time.Time
+	// Deadline is the deadline, at which the query ends with or without an answer.
+	Deadline time.Time
 }
 
 type shard struct {
@@ -83,8 +83,8 @@
 	s.reached = s.attempts > 0
 }
 
-// Later sets when the next attempt for a shard may be made.
-func (q *Query) Later(n int, at time.Time) { q.shards[n].nextAt = at }
+// Postpone sets when the next attempt for a shard may be made.
+func (q *Query) Postpone(n int, at time.Time) { q.shards[n].nextAt = at }
 
 // GiveUp closes a shard: it gets no more attempts.
 func (q *Query) GiveUp(n int) { q.shards[n].closed = true }
@@ -98,27 +98,27 @@
 // CoveredCount returns the number of shards that the answer contains so far.
 func (q *Query) CoveredCount() int { return q.covered }
 
-// Attempts returns the state of a shard at now: whether an attempt is in flight,
+// ShardState returns the state of a shard at now: whether an attempt is in flight,
 // whether one may be sent, and whether the shard gets no more.
-func (q *Query) Attempts(n int, now time.Time) (running, waiting, closed bool) {
+func (q *Query) ShardState(n int, now time.Time) (running, waiting, closed bool) {
 	s := &q.shards[n]
 	closed = s.closed || s.attempts >= q.settings.MaxAttempts && s.running == 0
 	return s.running > 0, s.running == 0 && !closed && !now.Before(s.nextAt), closed
 }
 
-// Needed returns the minimum number of shards in an answer.
-func (q *Query) Needed() int {
+// MinShards returns the minimum number of shards in an answer.
+func (q *Query) MinShards() int {
 	return max(1, int(math.Ceil(q.settings.MinShare*float64(q.settings.Shards))))
 }
 
-// Slept moves the deadlines earlier by d, the time that the machine was suspended
+// AddSuspension moves the deadlines earlier by d, the time that the machine was suspended
 // and that its monotonic clock did not count.
-func (q *Query) Slept(d time.Duration) {
-	q.settings.AnswerAt, q.settings.End = q.settings.AnswerAt.Add(-d), q.settings.End.Add(-d)
+func (q *Query) AddSuspension(d time.Duration) {
+	q.settings.AnswerAt, q.settings.Deadline = q.settings.AnswerAt.Add(-d), q.settings.Deadline.Add(-d)
 }
 
-// Need is a shard that may get another attempt.
-type Need struct {
+// DueAttempt is a shard that may get another attempt.
+type DueAttempt struct {
 	Shard int
 	// Hedge is set if an attempt is still in flight.
 	Hedge bool
@@ -126,11 +126,11 @@
 	First bool
 }
 
-// Needs returns the shards that may get another attempt at now: those with no
+// DueAttempts returns the shards that may get another attempt at now: those with no
 // attempt in flight, and those whose hedge is due. It closes shards that have
 // used all their attempts.
-func (q *Query) Needs(now time.Time) []Need {
-	var needs []Need
+func (q *Query) DueAttempts(now time.Time) []DueAttempt {
+	var needs []DueAttempt
 	for n := range q.shards {
 		s := &q.shards[n]
 		if s.covered || s.closed {
@@ -143,7 +143,7 @@
 		if now.Before(s.nextAt) || (s.running > 0 && s.nextAt.IsZero()) {
 			continue
 		}
-		needs = append(needs, Need{Shard: n, Hedge: s.running > 0, First: !s.reached})
+		needs = append(needs, DueAttempt{Shard: n, Hedge: s.running > 0, First: !s.reached})
 	}
 	return needs
 }
@@ -154,18 +154,18 @@
 	}
 }
 
-// Enough reports whether the answer covers MinShare of the shards so far.
-func (q *Query) Enough() bool {
-	return q.covered >= q.Needed()
+// HasMinShare reports whether the answer covers MinShare of the shards so far.
+func (q *Query) HasMinShare() bool {
+	return q.covered >= q.MinShards()
 }
 
 // Finished reports whether the query ends at now: no shard is pending, enough
 // shards are covered and AnswerAt has passed, or End has passed.
 func (q *Query) Finished(now time.Time) bool {
-	if !now.Before(q.settings.End) || q.pending() == 0 {
+	if !now.Before(q.settings.Deadline) || q.pending() == 0 {
 		return true
 	}
-	return q.Enough() && !now.Before(q.settings.AnswerAt)
+	return q.HasMinShare() && !now.Before(q.settings.AnswerAt)
 }
 
 // pending returns the number of shards that are not covered yet but can be.
@@ -180,9 +180,9 @@
 	return pending
 }
 
-// Next returns when the query must be re-evaluated if no event occurs earlier.
-func (q *Query) Next(now time.Time) time.Time {
-	next := q.settings.End
+// NextWakeup returns when the query must be re-evaluated if no event occurs earlier.
+func (q *Query) NextWakeup(now time.Time) time.Time {
+	next := q.settings.Deadline
 	if q.settings.AnswerAt.After(now) && q.settings.AnswerAt.Before(next) {
 		next = q.settings.AnswerAt
 	}
--- a/fanout/query_test.go
+++ b/fanout/query_test.go
@@ -21,7 +21,7 @@
 
 func newQuery(shards int) *fanout.Query {
 	return fanout.New(fanout.Settings{
-		Shards: shards, Top: testTop, MinShare: 0.5, MaxAttempts: 2, AnswerAt: after(80), End: after(1000),
+		Shards: shards, Top: testTop, MinShare: 0.5, MaxAttempts: 2, AnswerAt: after(80), Deadline: after(1000),
 	})
 }
 
@@ -51,7 +51,7 @@
 	q.Offer(singleShardBlock(0, ""))
 	q.Ended(0)
 	assert.Assert(t, !q.Finished(after(79)))
-	assert.Equal(t, q.Next(after(1)), after(80))
+	assert.Equal(t, q.NextWakeup(after(1)), after(80))
 	assert.Assert(t, q.Finished(after(80)))
 	assert.Equal(t, q.Answer().Missing, 1)
 	assert.DeepEqual(t, q.MissingShards(), []int{1})
@@ -72,18 +72,18 @@
 	q := newQuery(2)
 	q.Sent(0, after(30))
 	q.Sent(1, after(40))
-	assert.Equal(t, len(q.Needs(after(29))), 0)
-	assert.DeepEqual(t, q.Needs(after(30)), []fanout.Need{{Shard: 0, Hedge: true}})
+	assert.Equal(t, len(q.DueAttempts(after(29))), 0)
+	assert.DeepEqual(t, q.DueAttempts(after(30)), []fanout.DueAttempt{{Shard: 0, Hedge: true}})
 	q.Ended(1)
-	assert.DeepEqual(t, q.Needs(after(20)), []fanout.Need{{Shard: 1}})
+	assert.DeepEqual(t, q.DueAttempts(after(20)), []fanout.DueAttempt{{Shard: 1}})
 	q.Sent(1, time.Time{})
 	q.Ended(1)
-	assert.Equal(t, len(q.Needs(after(20))), 0, "MaxAttempts used up")
+	assert.Equal(t, len(q.DueAttempts(after(20))), 0, "MaxAttempts used up")
 	q.NotSent(0)
-	assert.DeepEqual(t, q.Needs(after(20)), []fanout.Need{{Shard: 0, First: true}})
-	q.Later(0, after(25))
-	assert.Equal(t, len(q.Needs(after(20))), 0)
-	assert.Equal(t, q.Next(after(20)), after(25))
+	assert.DeepEqual(t, q.DueAttempts(after(20)), []fanout.DueAttempt{{Shard: 0, First: true}})
+	q.Postpone(0, after(25))
+	assert.Equal(t, len(q.DueAttempts(after(20))), 0)
+	assert.Equal(t, q.NextWakeup(after(20)), after(25))
 	q.GiveUp(0)
 	assert.Assert(t, q.Finished(after(20)))
 }
@@ -191,13 +191,13 @@
 }
 
 func ExampleQuery() {
-	q := fanout.New(fanout.Settings{Shards: 2, Top: 1, MinShare: 0.5, MaxAttempts: 2, AnswerAt: after(80), End: after(1000)})
+	q := fanout.New(fanout.Settings{Shards: 2, Top: 1, MinShare: 0.5, MaxAttempts: 2, AnswerAt: after(80), Deadline: after(1000)})
 	q.Sent(0, after(30))
 	q.Sent(1, after(30))
 	q.Ended(0)
 	q.Offer(fanout.Block{Shards: []int{0}, Signatures: []string{"part-0"}, Records: []byte("record-000000001")})
-	fmt.Println(q.Finished(after(10)), len(q.Needs(after(10))))
-	fmt.Println(len(q.Needs(after(30))), "shard may get a second attempt")
+	fmt.Println(q.Finished(after(10)), len(q.DueAttempts(after(10))))
+	fmt.Println(len(q.DueAttempts(after(30))), "shard may get a second attempt")
 	a := q.Answer()
 	fmt.Println(q.Finished(after(80)), a.Signatures, a.Missing)
 	// Output:
@@ -210,7 +210,7 @@
 // leaves most of them just below MinShare.
 func TestBudgetGoesFirstToQueriesThatLackLittle(t *testing.T) {
 	extra := func(covered, running int, now time.Time) float64 {
-		q := fanout.New(fanout.Settings{Shards: 20, Top: 1, MinShare: 0.9, MaxAttempts: 2, AnswerAt: start.Add(time.Second), End: start.Add(time.Minute)})
+		q := fanout.New(fanout.Settings{Shards: 20, Top: 1, MinShare: 0.9, MaxAttempts: 2, AnswerAt: start.Add(time.Second), Deadline: start.Add(time.Minute)})
 		for n := range covered + running {
 			q.Sent(n, time.Time{})
 			if n < covered {
@@ -218,7 +218,7 @@
 				q.Offer(fanout.Block{Shards: []int{n}, Signatures: []string{fmt.Sprint(n)}})
 			}
 		}
-		return q.ExtraShare(now)
+		return q.RetryBudgetShare(now)
 	}
 	assert.Equal(t, extra(10, 6, start), 1.0, "two shards lacking")
 	assert.Equal(t, extra(15, 0, start), 1.0, "three shards lacking")
--- a/internal/capacity/configs.go
+++ b/internal/capacity/configs.go
@@ -73,7 +73,7 @@
 			next.Revision = revision
 			next.Services[0].Slots = uint32(revision%20 + 1)
 			h, parts := mustSplit(next)
-			_, _ = holder.Offer(h, parts)
+			_, _ = holder.Install(h, parts)
 		})})
 	}
 	return []Slope{
@@ -97,7 +97,7 @@
 func holderOf(c *configpb.Config) *config.Holder {
 	h := config.NewHolder()
 	head, parts := mustSplit(c)
-	if _, err := h.Offer(head, parts); err != nil {
+	if _, err := h.Install(head, parts); err != nil {
 		panic("capacity: " + err.Error())
 	}
 	return h
--- a/internal/capacity/fanout.go
+++ b/internal/capacity/fanout.go
@@ -33,8 +33,8 @@
 	return &leafpb.DescribeReply{Status: &leafpb.Status{Incarnation: 1, IndexVersions: []uint64{1}}}, nil
 }
 
-// Forget implements leaf.Client.
-func (instantLeaf) Forget(string) {}
+// CloseConn implements leaf.Client.
+func (instantLeaf) CloseConn(string) {}
 
 // measureFanOut measures the time of one query through a home without a network,
 // and the memory of the home, by number of shards.
@@ -45,9 +45,9 @@
 		c.Services[0].Homes = 1
 		build := func() *home.Service {
 			s := home.NewService("service-000", instantLeaf{}, home.Options{
-				Queue: admission.Settings{Length: 64}, Hedging: true, HedgeQuantile: 97, ExtraShare: 0.05, Prefix: "capacity/1",
+				Queue: admission.Settings{Length: 64}, Hedging: true, HedgeQuantile: 97, RetryBudgetRatio: 0.05, AttemptIDPrefix: "capacity/1",
 			})
-			s.Configure(c.Services[0], home.Share{Homes: 1}, func(string) (uint64, bool) { return 0, false })
+			s.Configure(c.Services[0], home.SlotShare{Homes: 1}, func(string) (uint64, bool) { return 0, false })
 			return s
 		}
 		size := float64(n)
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -37,10 +37,10 @@
 // newTable returns the table of member self that knows all members. It has sent all
 // facts, as it would in a stable fleet.
 func newTable(self int, all []member.Fact, seed uint64) *member.Table {
-	t := member.NewTable(memberFact(self), member.Settings{Suspicion: 2 * time.Second}, rand.New(rand.NewPCG(seed, 2)))
-	t.Adopt(all, startTime)
+	t := member.NewTable(memberFact(self), member.Settings{SuspicionTimeout: 2 * time.Second}, rand.New(rand.NewPCG(seed, 2)))
+	t.LoadFacts(all, startTime)
 	for range 200 {
-		t.Facts()
+		t.PendingFacts()
 	}
 	return t
 }
@@ -56,7 +56,7 @@
 		t := newTable(0, all, 1)
 		interval = append(interval, Point{size, microsPerCall(func() {
 			t.Probe()
-			t.Facts()
+			t.PendingFacts()
 			t.Merge(nil, startTime)
 			t.Tick(startTime)
 		})})
@@ -142,11 +142,11 @@
 				continue
 			}
 			j := index[target.Host]
-			message := t.Facts()
+			message := t.PendingFacts()
 			if silent[j] {
 				continue
 			}
-			reply := tables[j].Facts()
+			reply := tables[j].PendingFacts()
 			if tables[j].Merge(message, startTime) && !known[j] {
 				known[j] = true
 				count++
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -15,15 +15,15 @@
 	designRestartsPerSecond = 11000.0 / 86400
 	messagesPerSecond       = 4      // a probe and its reply, sent and received, at 2 intervals a second
 	factsPerRestart         = 2      // leaving or dead, and alive again
-	sendsPerFact            = 3 * 13 // limit of member.Table.Facts at designHosts
+	sendsPerFact            = 3 * 13 // limit of member.Table.PendingFacts at designHosts
 )
 
 // Results holds all measurements.
 type Results struct {
 	Slopes []Slope
-	// InForce holds pairs of a number of hosts and the modelled time until a
+	// PropagationTimes holds pairs of a number of hosts and the modelled time until a
 	// revision is in force, in seconds.
-	InForce [][2]float64
+	PropagationTimes [][2]float64
 }
 
 // Measure runs all measurements and prints each slope to progress. It takes a few
@@ -42,7 +42,7 @@
 	add(measureFanOut()...)
 	add(measureSpread())
 	for _, n := range fleetSizes {
-		r.InForce = append(r.InForce, [2]float64{float64(n), modelInForce(n, 20)})
+		r.PropagationTimes = append(r.PropagationTimes, [2]float64{float64(n), modelInForce(n, 20)})
 	}
 	return r
 }
@@ -70,7 +70,7 @@
 			s.Name, strings.Join(points, "; "), s.Unit, s.Base, s.PerUnit, strings.TrimSuffix(s.SizeUnit, "s"), 100*s.Residual)
 	}
 	fmt.Fprintln(w, "\n| hosts | revision in force at 999 in 1,000 of the live hosts, s (model, worst of 20 runs) |\n| --- | --- |")
-	for _, p := range r.InForce {
+	for _, p := range r.PropagationTimes {
 		fmt.Fprintf(w, "| %g | %.2f |\n", p[0], p[1])
 	}
 }
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -210,7 +210,7 @@
 func (a *announcer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.step(ctx, time.Now())
-		pause.For(ctx, minWriteInterval)
+		pause.Sleep(ctx, minWriteInterval)
 		timer := time.NewTimer(entryCheckInterval)
 		select {
 		case <-a.wake:
@@ -235,7 +235,7 @@
 		a.lease, a.written = 0, map[string]writtenEntry{} // The unused lease expires by itself.
 	}
 	err := a.renew(ctx, now)
-	if errors.Is(err, ErrLeaseEnded) {
+	if errors.Is(err, ErrLeaseExpired) {
 		a.log.Info().Int("entries", len(a.written)).Msg("lease of host entries expired: writing the entries again")
 		a.lease, a.written = 0, map[string]writtenEntry{}
 		p, err = a.plan(now), nil
@@ -370,7 +370,7 @@
 	remove := p.remove[:min(len(p.remove), MaxWrites-len(puts))]
 	p.remove = p.remove[len(remove):]
 	revision, err := a.store.Write(ctx, relaypb.EntryKind_HOST, a.lease, puts, remove)
-	if errors.Is(err, ErrLeaseEnded) {
+	if errors.Is(err, ErrLeaseExpired) {
 		a.lease, a.written = 0, map[string]writtenEntry{}
 	}
 	if err != nil {
--- a/internal/control/announce_test.go
+++ b/internal/control/announce_test.go
@@ -47,7 +47,7 @@
 		}
 		// Leases do not expire in the fake store. The real one would remove the only
 		// entry left under the lease of a000, its own.
-		assert.Assert(t, c.store.KeptUnder("a000") == 1, "%d entries under the lease of the lost host", c.store.KeptUnder("a000"))
+		assert.Assert(t, c.store.EntriesSharingLease("a000") == 1, "%d entries under the lease of the lost host", c.store.EntriesSharingLease("a000"))
 	})
 }
 
@@ -57,7 +57,7 @@
 	withCluster(t, 8, func(c *cluster) {
 		for _, name := range []string{"a007", "a000"} { // A follower and a leader.
 			before := c.knownHosts("b003")
-			c.hosts[name].Leave(c.ctx)
+			c.hosts[name].BeginStop(c.ctx)
 			took := c.await(time.Second, name+" is removed", func() bool { return c.knownHosts("b003") == before-1 })
 			assert.Assert(t, took < 800*time.Millisecond, "%s: %v", name, took)
 		}
--- a/internal/control/callers.go
+++ b/internal/control/callers.go
@@ -104,10 +104,10 @@
 type Share struct {
 	// Conns is the number of connections this host may open.
 	Conns int
-	// Hosts is the number of hosts that call the server.
-	Hosts int
-	// Cold limits the requests that all hosts together send while the server is cold.
-	Cold limit.ColdBound
+	// CallerCount is the number of hosts that call the server.
+	CallerCount int
+	// ColdBound limits the requests that all hosts together send while the server is cold.
+	ColdBound limit.ColdBound
 	// allHosts selects among all hosts.
 	allHosts *subsetter
 	// relays are the hosts that call a shard; nil for other servers.
@@ -121,17 +121,17 @@
 // their calls to one of these. It returns nil if every host calls the server.
 func (s Share) Callers() []Host {
 	if s.subset != nil {
-		return s.subset.all(s.server, s.Hosts)
+		return s.subset.all(s.server, s.CallerCount)
 	}
 	return s.relays
 }
 
 // ColdCallers returns the number of hosts that call the server while it is cold.
-func (s Share) ColdCallers() int { return s.Cold.Callers(s.Hosts) }
+func (s Share) ColdCallers() int { return s.ColdBound.Callers(s.CallerCount) }
 
-// CallsCold reports whether a host is one of those that call the server directly while it is
+// CallsWhileCold reports whether a host is one of those that call the server directly while it is
 // cold. Only hosts with an entry in the store are.
-func (s Share) CallsCold(name, domain string) bool {
+func (s Share) CallsWhileCold(name, domain string) bool {
 	n := s.ColdCallers()
 	if s.relays != nil {
 		return containsHost(s.relays[:min(n, len(s.relays))], name)
@@ -143,7 +143,7 @@
 func (s Share) Calls(name, domain string) bool {
 	callers := s.relays
 	if s.subset != nil {
-		callers = s.subset.inDomain(s.server.ID, domain, s.Hosts)
+		callers = s.subset.inDomain(s.server.ID, domain, s.CallerCount)
 	}
 	return callers == nil || containsHost(callers, name)
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -25,12 +25,12 @@
 	// RelaysPerDomain is the number of hosts in each failure domain that call the servers
 	// there.
 	RelaysPerDomain int
-	// Cold limits the requests to a cold server. Its PerSecond is replaced by the setting of
+	// ColdBound limits the requests to a cold server. Its PerSecond is replaced by the setting of
 	// the server's service.
-	Cold     limit.ColdBound
-	Store    Store
-	Peers    Peers
-	Listener Listener
+	ColdBound limit.ColdBound
+	Store     Store
+	Peers     PeerClient
+	Listener  Listener
 	// Suspended returns how long the machine has been suspended since boot. It defaults to
 	// suspend.Total.
 	Suspended func() time.Duration
@@ -44,7 +44,7 @@
 	settings  *settingspb.GatewayStoreSection
 	seeds     []string
 	store     Store
-	peers     Peers
+	peers     PeerClient
 	log       zerolog.Logger
 	health    *PeerHealth
 	state     *state
@@ -99,10 +99,10 @@
 	if c.suspended == nil {
 		c.suspended = suspend.Total
 	}
-	c.state.coldBound = config.Cold
+	c.state.coldBound = config.ColdBound
 	c.announcer = newAnnouncer(c, config.Settings.GetLease().AsDuration())
 	c.relaysPerDomain = config.RelaysPerDomain
-	count := func() int { return c.View().Count }
+	count := func() int { return c.View().HostCount }
 	c.records = newRecorder(c.writeRecords, config.Log, count)
 	c.peerRecords = newRecorder(c.tellPeers, config.Log, count)
 	return c
@@ -140,15 +140,15 @@
 // View returns the current published state.
 func (c *Control) View() *View { return c.state.view() }
 
-// Known returns a channel that is closed once the configuration and the servers are known.
-func (c *Control) Known() <-chan struct{} { return c.state.initialized }
+// Initialized returns a channel that is closed once the configuration and the servers are known.
+func (c *Control) Initialized() <-chan struct{} { return c.state.initialized }
 
 // Health returns the tracker of unresponsive peers.
 func (c *Control) Health() *PeerHealth { return c.health }
 
-// Leave begins a planned shutdown: the host stops being ready and its entry is removed from
+// BeginStop begins a planned shutdown: the host stops being ready and its entry is removed from
 // the store.
-func (c *Control) Leave(ctx context.Context) {
+func (c *Control) BeginStop(ctx context.Context) {
 	c.state.do(ctx, func() {
 		c.state.stopping = true
 		c.state.publish(time.Now())
--- a/internal/control/fakestore/fakestore.go
+++ b/internal/control/fakestore/fakestore.go
@@ -47,35 +47,35 @@
 // Timeout is the timeout of a store call in tests.
 const Timeout = 600 * time.Millisecond
 
-// Parted connects one host to the store. While it is cut, reads, watches, creates and writes of
+// Partitioned connects one host to the store. While it is cut, reads, watches, creates and writes of
 // quarantine records hang until they time out.
-type Parted struct {
+type Partitioned struct {
 	*Store
 	Cut atomic.Bool
 }
 
 // Read implements control.Store.
-func (s *Parted) Read(ctx context.Context) (control.Reading, error) {
+func (s *Partitioned) Read(ctx context.Context) (control.Batch, error) {
 	if s.Cut.Load() {
 		time.Sleep(Timeout)
-		return control.Reading{}, context.DeadlineExceeded
+		return control.Batch{}, context.DeadlineExceeded
 	}
 	return s.Store.Read(ctx)
 }
 
 // Watch implements control.Store.
-func (s *Parted) Watch(ctx context.Context, after uint64, wait time.Duration) (control.Reading, error) {
+func (s *Partitioned) Watch(ctx context.Context, after uint64, wait time.Duration) (control.Batch, error) {
 	r, err := s.Store.Watch(ctx, after, wait)
 	if s.Cut.Load() {
 		<-ctx.Done()
-		return control.Reading{}, ctx.Err()
+		return control.Batch{}, ctx.Err()
 	}
 	return r, err
 }
 
 // Write implements control.Store. A cut only affects quarantine records: hosts remove their
 // own entries without a timeout when a test ends, and would block it.
-func (s *Parted) Write(ctx context.Context, kind relaypb.EntryKind, lease uint64, puts map[string][]byte, remove []string) (uint64, error) {
+func (s *Partitioned) Write(ctx context.Context, kind relaypb.EntryKind, lease uint64, puts map[string][]byte, remove []string) (uint64, error) {
 	if s.Cut.Load() && kind == relaypb.EntryKind_QUARANTINE {
 		time.Sleep(Timeout)
 		return 0, context.DeadlineExceeded
@@ -84,7 +84,7 @@
 }
 
 // Create implements control.Store.
-func (s *Parted) Create(ctx context.Context, kind relaypb.EntryKind, name string) (bool, error) {
+func (s *Partitioned) Create(ctx context.Context, kind relaypb.EntryKind, name string) (bool, error) {
 	if s.Cut.Load() {
 		<-ctx.Done()
 		return false, ctx.Err()
@@ -143,8 +143,8 @@
 	s.Apply(control.Entry{Kind: relaypb.EntryKind_SERVER, Name: id, Removed: true})
 }
 
-// PutRaw writes a server entry with an arbitrary value.
-func (s *Store) PutRaw(id string, value []byte) {
+// PutRawServer writes a server entry with an arbitrary value.
+func (s *Store) PutRawServer(id string, value []byte) {
 	s.Apply(control.Entry{Kind: relaypb.EntryKind_SERVER, Name: id, Value: value})
 }
 
@@ -162,8 +162,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Forget compacts the history: watches from earlier revisions fail with ErrCompacted.
-func (s *Store) Forget() {
+// Compact compacts the history: watches from earlier revisions fail with ErrCompacted.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = s.revision
@@ -172,14 +172,14 @@
 }
 
 // Read implements control.Store.
-func (s *Store) Read(context.Context) (control.Reading, error) {
+func (s *Store) Read(context.Context) (control.Batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Calls.Add(1)
 	if s.down {
-		return control.Reading{}, ErrDown
+		return control.Batch{}, ErrDown
 	}
-	r := control.Reading{Revision: s.revision}
+	r := control.Batch{Revision: s.revision}
 	for _, e := range s.entries {
 		r.Entries = append(r.Entries, e)
 	}
@@ -187,7 +187,7 @@
 }
 
 // Watch implements control.Store.
-func (s *Store) Watch(ctx context.Context, after uint64, wait time.Duration) (control.Reading, error) {
+func (s *Store) Watch(ctx context.Context, after uint64, wait time.Duration) (control.Batch, error) {
 	timeout := time.After(wait)
 	s.mu.Lock()
 	s.Calls.Add(1)
@@ -195,7 +195,7 @@
 	for {
 		s.mu.Lock()
 		changed, down, compacted := s.changed, s.down, after < s.compacted
-		r := control.Reading{Revision: s.revision}
+		r := control.Batch{Revision: s.revision}
 		for _, e := range s.events {
 			if e.Revision > after {
 				r.Entries = append(r.Entries, e)
@@ -204,9 +204,9 @@
 		s.mu.Unlock()
 		switch {
 		case down:
-			return control.Reading{}, ErrDown
+			return control.Batch{}, ErrDown
 		case compacted:
-			return control.Reading{}, control.ErrCompacted
+			return control.Batch{}, control.ErrCompacted
 		case len(r.Entries) > 0:
 			return r, nil
 		}
@@ -215,7 +215,7 @@
 		case <-timeout:
 			return r, nil
 		case <-ctx.Done():
-			return control.Reading{}, ctx.Err()
+			return control.Batch{}, ctx.Err()
 		}
 	}
 }
@@ -242,7 +242,7 @@
 		return 0, ErrDown
 	}
 	if len(puts) > 0 && lease != 0 && !s.leases[lease] {
-		return 0, control.ErrLeaseEnded
+		return 0, control.ErrLeaseExpired
 	}
 	s.revision++
 	for name, value := range puts {
@@ -315,7 +315,7 @@
 		return ErrDown
 	}
 	if !s.leases[lease] {
-		return control.ErrLeaseEnded
+		return control.ErrLeaseExpired
 	}
 	return nil
 }
@@ -332,9 +332,9 @@
 	return server, err
 }
 
-// KeptUnder returns the number of host entries that share the lease of the named host's
+// EntriesSharingLease returns the number of host entries that share the lease of the named host's
 // entry.
-func (s *Store) KeptUnder(name string) int {
+func (s *Store) EntriesSharingLease(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	reading := Reading{Revision: reply.GetRevision(), Entries: entries}
+	reading := Batch{Revision: reply.GetRevision(), Entries: entries}
 	c.state.do(ctx, func() {
 		c.state.setStoreStatus(!reply.GetStoreLost(), errLeaderStale, now.Add(-age), now)
 		if reply.GetComplete() {
--- a/internal/control/outage_test.go
+++ b/internal/control/outage_test.go
@@ -62,7 +62,7 @@
 		}
 		took := c.await(2*time.Second, "all know the configuration", func() bool {
 			for _, m := range c.hosts {
-				if !m.View().Known {
+				if !m.View().Initialized {
 					return false
 				}
 			}
--- a/internal/control/peerhealth.go
+++ b/internal/control/peerhealth.go
@@ -77,15 +77,15 @@
 	delete(p.probeAt, address)
 }
 
-// Started records the start of a call to a peer.
-func (p *PeerHealth) Started(address string) {
+// CallStarted records the start of a call to a peer.
+func (p *PeerHealth) CallStarted(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inFlight[address]++
 }
 
-// Ended records the end of a call to a peer.
-func (p *PeerHealth) Ended(address string) {
+// CallEnded records the end of a call to a peer.
+func (p *PeerHealth) CallEnded(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.inFlight[address]--; p.inFlight[address] <= 0 {
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -16,7 +16,7 @@
 func (c *Control) pollPeers(ctx context.Context) {
 	lastPoll, preferred := time.Time{}, ""
 	for ctx.Err() == nil {
-		pause.For(ctx, peerCheckInterval)
+		pause.Sleep(ctx, peerCheckInterval)
 		v := c.View()
 		if v.StoreLost.IsZero() && v.Revision > 0 {
 			continue
@@ -48,7 +48,7 @@
 // probePeers probes suspected peers until ctx is done.
 func (c *Control) probePeers(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, probeCheckInterval)
+		pause.Sleep(ctx, probeCheckInterval)
 		v := c.View()
 		for _, address := range c.health.due(time.Now(), v.knowsAddress) {
 			go c.probePeer(ctx, address)
@@ -60,7 +60,7 @@
 // connection, because open ones may be dead.
 func (c *Control) Suspect(address string, now time.Time) {
 	c.health.suspect(address, now)
-	c.peers.Forget(address)
+	c.peers.CloseIdle(address)
 }
 
 // probePeer requests changes newer than any revision: only the fact that the peer responds
@@ -117,7 +117,7 @@
 		c.log.Error().Err(err).Str("peer", address).Msg("ignoring invalid reply of a peer")
 		return false
 	}
-	reading := Reading{Revision: reply.GetRevision(), Entries: entries}
+	reading := Batch{Revision: reply.GetRevision(), Entries: entries}
 	c.log.Info().Str("peer", address).Uint64("revision", reading.Revision).Uint64("known", known).Msg("state updated from a peer")
 	c.state.do(ctx, func() { c.state.applyReading(reading, time.Now()) })
 	return fresh
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -87,13 +87,13 @@
 		if err := r.write(ctx, puts, remove); err != nil && ctx.Err() == nil {
 			r.log.Warn().Err(err).Int("records", len(puts)).Int("removed", len(remove)).Msg("failed to write quarantine records: will retry")
 			r.requeue(puts, remove)
-			pause.For(ctx, maxRetryDelay)
+			pause.Sleep(ctx, maxRetryDelay)
 			continue
 		}
 		if more {
 			notify(r.wake)
 		}
-		pause.For(ctx, max(minRecordInterval, recordInterval*time.Duration(r.hosts())))
+		pause.Sleep(ctx, max(minRecordInterval, recordInterval*time.Duration(r.hosts())))
 	}
 }
 
@@ -164,6 +164,6 @@
 	return err == nil && created
 }
 
-// ReadsStore reports whether this host has no leader and reads the store itself. Few hosts
+// ReadsStoreDirectly reports whether this host has no leader and reads the store itself. Few hosts
 // do.
-func (c *Control) ReadsStore() bool { return !c.announcer.delegated.Load() }
+func (c *Control) ReadsStoreDirectly() bool { return !c.announcer.delegated.Load() }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -57,7 +57,7 @@
 	hostGroups   map[string][]Host
 	subsetter    *subsetter
 	hostsChanged bool
-	// sharers is View.Sharers; fewerSince is when the number of hosts dropped below it.
+	// sharers is View.BudgetSharers; fewerSince is when the number of hosts dropped below it.
 	sharers    int
 	fewerSince time.Time
 	// expiredHosts are hosts whose entries disappeared during an outage of the store. They still
@@ -96,7 +96,7 @@
 func newState(decoder Decoder, listener Listener, self Host, relaysPerDomain int, log zerolog.Logger) *state {
 	s := &state{
 		decoder: decoder, listener: listener, self: self, relaysPerDomain: relaysPerDomain,
-		log: log, detailLog: obs.Bounded(log, detailLinesPerSecond), invalidLog: obs.Bounded(log, detailLinesPerSecond),
+		log: log, detailLog: obs.RateLimited(log, detailLinesPerSecond), invalidLog: obs.RateLimited(log, detailLinesPerSecond),
 		actions:  make(chan func()),
 		registry: discovery.NewRegistry(), hosts: map[string]Host{}, expiredHosts: map[string]bool{}, entries: map[entryKey]Entry{},
 		changed: make(chan struct{}), initialized: make(chan struct{}),
@@ -144,7 +144,7 @@
 	expired := s.registry.Expire(now)
 	for _, server := range expired {
 		s.serverEvent(server).Msg("server not registered again after the store outage: removed")
-		s.listener.ServerGone(server)
+		s.listener.ServerExpired(server)
 	}
 	hostsExpired := s.storeLost.IsZero() && !now.Before(s.hostGraceEnd) && len(s.expiredHosts) > 0
 	if hostsExpired {
@@ -169,7 +169,7 @@
 func (s *state) logTally(now time.Time) { s.tally.flush(s.log, s.revision, !s.storeLost.IsZero(), now) }
 
 // applyReading applies a complete read of the store.
-func (s *state) applyReading(r Reading, now time.Time) {
+func (s *state) applyReading(r Batch, now time.Time) {
 	present := make(map[entryKey]bool, len(r.Entries))
 	for _, e := range r.Entries {
 		present[entryKey{e.Kind, e.Name}] = true
@@ -184,7 +184,7 @@
 	if !s.registry.Loaded() {
 		s.compactedRevision = r.Revision
 	}
-	s.registry.Complete()
+	s.registry.MarkLoaded()
 	s.tally.readings++
 	s.revision = max(s.revision, r.Revision)
 	s.logTally(now)
@@ -192,7 +192,7 @@
 }
 
 // applyChanges applies the changes since the known revision.
-func (s *state) applyChanges(r Reading, now time.Time) {
+func (s *state) applyChanges(r Batch, now time.Time) {
 	s.revision = max(s.revision, r.Revision)
 	if len(r.Entries) == 0 {
 		return
@@ -275,7 +275,7 @@
 // coldFor returns how long servers of a service count as cold after their start.
 func (s *state) coldFor(service string) time.Duration {
 	if table := s.holder.Table(); table != nil {
-		return table.Service(service).ColdFor
+		return table.Service(service).ColdDuration
 	}
 	return 0
 }
@@ -323,7 +323,7 @@
 		return
 	}
 	if !s.registry.Put(server, now) {
-		s.detailLog.Info().Str("server", e.Name).Int64("born", server.Born).Uint64("revision", e.Revision).Msg("ignoring the entry of an earlier process of the server")
+		s.detailLog.Info().Str("server", e.Name).Int64("born", server.StartedAtMillis).Uint64("revision", e.Revision).Msg("ignoring the entry of an earlier process of the server")
 		return
 	}
 	s.tally.servers++
@@ -401,7 +401,7 @@
 		}
 		return
 	}
-	if s.registry.StoreRegained(now) {
+	if s.registry.StoreRecovered(now) {
 		s.log.Info().Dur("away", now.Sub(s.storeLost)).Msg("store regained")
 		s.storeLost = time.Time{}
 		s.hostGraceEnd = now.Add(hostGrace)
@@ -437,14 +437,14 @@
 func (s *state) publish(now time.Time) {
 	previous := s.view()
 	v := &View{
-		Table: s.holder.Table(), TableSince: s.tableSince, Hosts: s.groupHosts(), Count: len(s.hosts),
+		Table: s.holder.Table(), TableSince: s.tableSince, Hosts: s.groupHosts(), HostCount: len(s.hosts),
 		remoteRegions: regionsExcept(s.hosts, s.self.Region),
 		StoreLost:     s.storeLost, Revision: s.revision, cold: s.coldBound,
 	}
-	v.subsetter, v.Sharers = s.subsetter, s.countSharers(now)
-	v.Known = v.Table != nil && s.registry.Loaded()
-	v.Doubted = !s.unconfirmedSince.IsZero()
-	v.Ready = v.Known && !s.stopping && !v.Doubted
+	v.subsetter, v.BudgetSharers = s.subsetter, s.countSharers(now)
+	v.Initialized = v.Table != nil && s.registry.Loaded()
+	v.Unconfirmed = !s.unconfirmedSince.IsZero()
+	v.Ready = v.Initialized && !s.stopping && !v.Unconfirmed
 	if v.Ready != previous.Ready {
 		s.log.Info().Bool("ready", v.Ready).Bool("stopping", s.stopping).Msg("readiness changed")
 	}
@@ -452,9 +452,9 @@
 	s.listener.ServersChanged(s.registry.Servers(), shareOf, now)
 	outdated := s.changed
 	s.changed = make(chan struct{})
-	v.Outdated = s.changed
+	v.Superseded = s.changed
 	s.current.Store(v)
-	if v.Known && !previous.Known {
+	if v.Initialized && !previous.Initialized {
 		close(s.initialized)
 	}
 	close(outdated)
@@ -462,7 +462,7 @@
 
 // updates holds the changes a follower has not received yet.
 type updates struct {
-	Reading
+	Batch
 	complete  bool
 	age       time.Duration
 	storeLost bool
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -23,8 +23,8 @@
 	Removed bool
 }
 
-// Reading is a consistent snapshot of the store, or the changes since a revision.
-type Reading struct {
+// Batch is a consistent snapshot of the store, or the changes since a revision.
+type Batch struct {
 	// Revision is the store's revision; later changes have higher ones.
 	Revision uint64
 	Entries  []Entry
@@ -34,8 +34,8 @@
 // store must be read from scratch.
 var ErrCompacted = errors.New("store history compacted: a complete read is required")
 
-// ErrLeaseEnded is returned by Renew and Write if the lease does not exist anymore.
-var ErrLeaseEnded = errors.New("lease expired: a new lease is required")
+// ErrLeaseExpired is returned by Renew and Write if the lease does not exist anymore.
+var ErrLeaseExpired = errors.New("lease expired: a new lease is required")
 
 // Decoder decodes the values of store entries.
 type Decoder interface {
@@ -50,12 +50,12 @@
 type Store interface {
 	Decoder
 	// Read returns all entries.
-	Read(ctx context.Context) (Reading, error)
+	Read(ctx context.Context) (Batch, error)
 	// Watch waits at most wait for changes after a revision.
-	Watch(ctx context.Context, after uint64, wait time.Duration) (Reading, error)
+	Watch(ctx context.Context, after uint64, wait time.Duration) (Batch, error)
 	// Lease creates a lease. Entries written under it are deleted when it expires.
 	Lease(ctx context.Context, ttl time.Duration) (lease uint64, err error)
-	// Renew renews a lease, or returns ErrLeaseEnded.
+	// Renew renews a lease, or returns ErrLeaseExpired.
 	Renew(ctx context.Context, lease uint64) error
 	// Write atomically writes and removes entries of a kind that hosts may write, at most
 	// MaxWrites together, and returns the new revision. The written entries are bound to lease
@@ -69,13 +69,13 @@
 	Create(ctx context.Context, kind relaypb.EntryKind, name string) (created bool, err error)
 }
 
-// Peers sends calls to other gateways.
-type Peers interface {
+// PeerClient sends calls to other gateways.
+type PeerClient interface {
 	State(ctx context.Context, address string, request *relaypb.StateRequest) (*relaypb.StateReply, error)
 	Follow(ctx context.Context, address string, request *relaypb.FollowRequest, received func(*relaypb.FollowReply)) error
 	Tell(ctx context.Context, address string, request *relaypb.TellRequest) error
-	// Forget closes the idle connections to a gateway.
-	Forget(address string)
+	// CloseIdle closes the idle connections to a gateway.
+	CloseIdle(address string)
 }
 
 // Listener receives the changes that request handling needs to know. Its methods are called
@@ -84,13 +84,13 @@
 	// ServersChanged passes the servers in service and a function that returns this host's
 	// share of each.
 	ServersChanged(servers []discovery.Server, shares func(discovery.Server) Share, now time.Time)
-	// ServerGone reports a server that was not registered again after an outage of the store.
-	ServerGone(server discovery.Server)
+	// ServerExpired reports a server that was not registered again after an outage of the store.
+	ServerExpired(server discovery.Server)
 	// TableChanged passes a routing table that takes effect.
 	TableChanged(table *route.Table)
 	// QuarantineChanged passes an entry about a request that crashes servers.
 	QuarantineChanged(e Entry, now time.Time)
-	// Slept reports that the machine was suspended for d, which the monotonic clock did not
+	// Resumed reports that the machine was suspended for d, which the monotonic clock did not
 	// count.
-	Slept(d time.Duration)
+	Resumed(d time.Duration)
 }
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		c.state.do(ctx, func() { c.state.setStoreStatus(false, err, time.Time{}, time.Now()) })
-		pause.For(ctx, delay)
+		pause.Sleep(ctx, delay)
 		delay = min(retryFactor*delay, maxRetryDelay)
 	}
 }
@@ -76,7 +76,7 @@
 // adoptFromPeers uses the state received from peers in place of a first read of the store, so
 // that a starting host can follow a leader without one.
 func (c *Control) adoptFromPeers() {
-	if v := c.View(); !c.loaded && !c.discovered && v.Known {
+	if v := c.View(); !c.loaded && !c.discovered && v.Initialized {
 		c.loaded = true
 		c.watchedRevision = v.Revision
 	}
@@ -90,8 +90,8 @@
 		return
 	}
 	c.discovered = true
-	if len(c.seeds) > 0 && c.View().Count == 0 {
-		pause.For(ctx, c.announcer.announceDelay())
+	if len(c.seeds) > 0 && c.View().HostCount == 0 {
+		pause.Sleep(ctx, c.announcer.announceDelay())
 		c.queryPeer(ctx, c.seeds[rand.IntN(len(c.seeds))], c.watchedRevision)
 		c.watchedRevision = max(c.watchedRevision, c.View().Revision)
 	}
@@ -106,13 +106,13 @@
 	}
 	settings := c.settings
 	wait := settings.GetWatchWait().AsDuration()
-	if c.View().Doubted {
+	if c.View().Unconfirmed {
 		wait = probeWatchWait // Confirms the state without waiting for a change.
 	}
 	started := time.Now()
 	err := c.watch(ctx, wait, settings.GetWatchSlack().AsDuration())
 	if err == nil {
-		pause.For(ctx, minWatchInterval-time.Since(started))
+		pause.Sleep(ctx, minWatchInterval-time.Since(started))
 	}
 	return err
 }
--- a/internal/control/tally_test.go
+++ b/internal/control/tally_test.go
@@ -32,10 +32,10 @@
 type noopListener struct{}
 
 func (noopListener) ServersChanged([]discovery.Server, func(discovery.Server) Share, time.Time) {}
-func (noopListener) ServerGone(discovery.Server)                                                {}
+func (noopListener) ServerExpired(discovery.Server)                                             {}
 func (noopListener) TableChanged(*route.Table)                                                  {}
 func (noopListener) QuarantineChanged(Entry, time.Time)                                         {}
-func (noopListener) Slept(time.Duration)                                                        {}
+func (noopListener) Resumed(time.Duration)                                                      {}
 
 // fleetEntries returns the entries of a configuration, of hosts and of two servers for each
 // of the shards.
@@ -77,11 +77,11 @@
 	s := newState(jsonDecoder{}, noopListener{}, self, 3, zerolog.New(zerolog.SyncWriter(&out)))
 	now := time.Unix(1000, 0)
 	entries := fleetEntries(195, 216, 1)
-	s.applyReading(Reading{Revision: 1, Entries: entries}, now)
+	s.applyReading(Batch{Revision: 1, Entries: entries}, now)
 	for i := range uint64(3) {
 		now = now.Add(300 * time.Millisecond)
-		s.applyReading(Reading{Revision: 2 + 2*i, Entries: entries[len(entries)-1:]}, now)
-		s.applyReading(Reading{Revision: 3 + 2*i, Entries: fleetEntries(195, 216, 3+2*i)}, now)
+		s.applyReading(Batch{Revision: 2 + 2*i, Entries: entries[len(entries)-1:]}, now)
+		s.applyReading(Batch{Revision: 3 + 2*i, Entries: fleetEntries(195, 216, 3+2*i)}, now)
 	}
 	lines := strings.Count(out.String(), "\n")
 	assert.Assert(t, lines <= 2+detailLinesPerSecond+5, "%d lines:\n%s", lines, out.String())
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -21,17 +21,17 @@
 	Domain   string
 	Region   string
 	Strength float64
-	// Packs is set if the host understands compressed lists.
-	Packs bool
-	// Whole is set if the host also forwards requests that are not queries.
-	Whole bool
+	// SupportsPacking is set if the host understands compressed lists.
+	SupportsPacking bool
+	// RelaysWhole is set if the host also forwards requests that are not queries.
+	RelaysWhole bool
 	// revision is the store revision of the entry.
 	revision uint64
 }
 
 // hostFromEntry converts a store entry.
 func hostFromEntry(h *relaypb.Host) Host {
-	return Host{Name: h.GetName(), Address: h.GetAddress(), Domain: h.GetDomain(), Region: h.GetRegion(), Strength: h.GetStrength(), Packs: h.GetPacks(), Whole: h.GetWhole()}
+	return Host{Name: h.GetName(), Address: h.GetAddress(), Domain: h.GetDomain(), Region: h.GetRegion(), Strength: h.GetStrength(), SupportsPacking: h.GetPacks(), RelaysWhole: h.GetWhole()}
 }
 
 // View is an immutable snapshot of the control state for request handling.
@@ -43,20 +43,20 @@
 	Hosts map[string][]Host
 	// subsetter selects among Hosts for servers that accept few connections.
 	subsetter *subsetter
-	// Count is the number of hosts.
-	Count int
-	// Sharers is the number of hosts that share limits over a time window, such as the retry
+	// HostCount is the number of hosts.
+	HostCount int
+	// BudgetSharers is the number of hosts that share limits over a time window, such as the retry
 	// budget. It includes hosts that disappeared recently.
-	Sharers int
+	BudgetSharers int
 	// remoteRegions are the regions of all hosts except this host's own.
 	remoteRegions []string
-	// Known is set once the configuration and the servers are known.
-	Known bool
-	// Outdated is closed when a newer view is published.
-	Outdated <-chan struct{}
-	// Doubted is set after a suspension of the machine until the store or a leader has been
+	// Initialized is set once the configuration and the servers are known.
+	Initialized bool
+	// Superseded is closed when a newer view is published.
+	Superseded <-chan struct{}
+	// Unconfirmed is set after a suspension of the machine until the store or a leader has been
 	// heard.
-	Doubted bool
+	Unconfirmed bool
 	// Ready is set while the host accepts requests.
 	Ready bool
 	// StoreLost is when the store became unreachable; zero while it responds.
@@ -69,7 +69,7 @@
 
 // revisions returns the revisions of all host entries by host name.
 func (v *View) revisions() map[string]uint64 {
-	revisions := make(map[string]uint64, v.Count)
+	revisions := make(map[string]uint64, v.HostCount)
 	for _, group := range v.Hosts {
 		for _, h := range group {
 			revisions[h.Name] = h.revision
@@ -88,15 +88,15 @@
 	return hosts[:min(limit, len(hosts))]
 }
 
-// Knows reports whether the host has an entry in a failure domain. A host without one calls
+// HasHost reports whether the host has an entry in a failure domain. A host without one calls
 // servers directly.
-func (v *View) Knows(name, domain string) bool {
+func (v *View) HasHost(name, domain string) bool {
 	return containsHost(v.Hosts[domain], name)
 }
 
-// AnyFarRegion returns a random region other than this host's own that has hosts, or an empty
+// RandomRemoteRegion returns a random region other than this host's own that has hosts, or an empty
 // string.
-func (v *View) AnyFarRegion() string {
+func (v *View) RandomRemoteRegion() string {
 	if len(v.remoteRegions) == 0 {
 		return ""
 	}
@@ -161,23 +161,23 @@
 // subset of the hosts, spread over the failure domains.
 func (v *View) Share(s discovery.Server, relaysPerDomain int) Share {
 	if v.Table == nil {
-		return Share{Conns: defaultConns, Hosts: 1}
+		return Share{Conns: defaultConns, CallerCount: 1}
 	}
 	service := v.Table.Service(s.Service)
-	share := Share{Conns: defaultConns, Hosts: max(v.Count, 1), Cold: v.cold, allHosts: v.subsetter, server: s}
-	share.Cold.PerSecond = service.ColdPerSecond
-	usable := v.Count
+	share := Share{Conns: defaultConns, CallerCount: max(v.HostCount, 1), ColdBound: v.cold, allHosts: v.subsetter, server: s}
+	share.ColdBound.PerSecond = service.ColdPerSecond
+	usable := v.HostCount
 	if service.MaxConns > 0 {
 		usable = max(int(connShare*float64(service.MaxConns)), 1)
 	}
 	if v.Table.IsShard(s.Service) {
 		share.relays = v.Relays(s.Domain, min(relaysPerDomain, usable))
-		share.Hosts = max(len(share.relays), 1)
-	} else if v.Count > usable {
-		share.subset, share.Hosts = v.subsetter, usable
+		share.CallerCount = max(len(share.relays), 1)
+	} else if v.HostCount > usable {
+		share.subset, share.CallerCount = v.subsetter, usable
 	}
 	if service.MaxConns > 0 {
-		share.Conns = max(usable/share.Hosts, 1)
+		share.Conns = max(usable/share.CallerCount, 1)
 	}
 	return share
 }
--- a/internal/control/view_test.go
+++ b/internal/control/view_test.go
@@ -20,7 +20,7 @@
 	hosts := map[string]Host{}
 	for i := first; i < last; i++ {
 		name := fmt.Sprint("host", i)
-		hosts[name] = Host{Name: name, Domain: fmt.Sprint("d", i%6), Strength: 1, Whole: true}
+		hosts[name] = Host{Name: name, Domain: fmt.Sprint("d", i%6), Strength: 1, RelaysWhole: true}
 	}
 	config := route.Config{
 		Version:  1,
@@ -31,7 +31,7 @@
 				Query: &route.Query{Shards: []string{"shard"}, Top: 1, MinShare: 1}},
 		},
 	}
-	return &View{Table: route.NewTable(config), Hosts: groupByDomain(hosts), subsetter: newSubsetter(groupByDomain(hosts)), Count: len(hosts)}
+	return &View{Table: route.NewTable(config), Hosts: groupByDomain(hosts), subsetter: newSubsetter(groupByDomain(hosts)), HostCount: len(hosts)}
 }
 
 // callers returns the names of the hosts that call a server according to this view.
@@ -106,15 +106,15 @@
 	s := newState(jsonDecoder{}, noopListener{}, Host{Name: "host0", Domain: "d0", Region: "r"}, 3, zerolog.Nop())
 	now := time.Unix(1000, 0)
 	all := fleetEntries(60, 1, 1)
-	s.applyReading(Reading{Revision: 1, Entries: all}, now)
-	assert.Equal(t, s.view().Sharers, 60)
+	s.applyReading(Batch{Revision: 1, Entries: all}, now)
+	assert.Equal(t, s.view().BudgetSharers, 60)
 	now = now.Add(time.Second)
-	s.applyReading(Reading{Revision: 2, Entries: all[:20]}, now)
-	assert.Equal(t, s.view().Count, 20)
-	assert.Equal(t, s.view().Sharers, 60)
+	s.applyReading(Batch{Revision: 2, Entries: all[:20]}, now)
+	assert.Equal(t, s.view().HostCount, 20)
+	assert.Equal(t, s.view().BudgetSharers, 60)
 	now = now.Add(sharerGrace + time.Second)
 	s.publish(now)
-	assert.Equal(t, s.view().Sharers, 20)
-	s.applyReading(Reading{Revision: 3, Entries: fleetEntries(60, 1, 3)}, now)
-	assert.Equal(t, s.view().Sharers, 60)
+	assert.Equal(t, s.view().BudgetSharers, 20)
+	s.applyReading(Batch{Revision: 3, Entries: fleetEntries(60, 1, 3)}, now)
+	assert.Equal(t, s.view().BudgetSharers, 60)
 }
--- a/internal/control/wake.go
+++ b/internal/control/wake.go
@@ -27,7 +27,7 @@
 // store go on.
 func (c *Control) detectSuspensions(ctx context.Context) {
 	previous := c.suspended()
-	for pause.For(ctx, suspensionCheckInterval); ctx.Err() == nil; pause.For(ctx, suspensionCheckInterval) {
+	for pause.Sleep(ctx, suspensionCheckInterval); ctx.Err() == nil; pause.Sleep(ctx, suspensionCheckInterval) {
 		total := c.suspended()
 		if suspendedFor := total - previous; suspendedFor >= minSuspension {
 			c.onResume(ctx, suspendedFor)
@@ -46,7 +46,7 @@
 	c.announcer.onResume()
 	for _, hosts := range c.View().Hosts {
 		for _, h := range hosts {
-			c.peers.Forget(h.Address)
+			c.peers.CloseIdle(h.Address)
 		}
 	}
 	c.store.Reconnect()
@@ -78,9 +78,9 @@
 			*at = at.Add(-suspendedFor)
 		}
 	}
-	s.registry.Slept(suspendedFor)
+	s.registry.AddSuspension(suspendedFor)
 	s.unconfirmedSince = now
-	s.listener.Slept(suspendedFor)
+	s.listener.Resumed(suspendedFor)
 	s.publish(now)
 }
 
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -44,7 +44,7 @@
 // Checks that a peer without support for compression gets plain entries and may send them.
 func TestPlainEntriesForOldPeers(t *testing.T) {
 	c := &Control{}
-	u := updates{Reading: Reading{Entries: []Entry{{Name: "a"}}}}
+	u := updates{Batch: Batch{Entries: []Entry{{Name: "a"}}}}
 	plain, packed, err := c.entriesFor(false, 0, u)
 	assert.NilError(t, err)
 	assert.Assert(t, packed == nil)
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -33,7 +33,7 @@
 // testHost is one host of the cluster.
 type testHost struct {
 	*control.Control
-	store  *fakestore.Parted
+	store  *fakestore.Partitioned
 	ctx    context.Context
 	cancel context.CancelFunc
 }
@@ -43,10 +43,10 @@
 
 func (noopListener) ServersChanged([]discovery.Server, func(discovery.Server) control.Share, time.Time) {
 }
-func (noopListener) ServerGone(discovery.Server)                {}
+func (noopListener) ServerExpired(discovery.Server)             {}
 func (noopListener) TableChanged(*route.Table)                  {}
 func (noopListener) QuarantineChanged(control.Entry, time.Time) {}
-func (noopListener) Slept(time.Duration)                        {}
+func (noopListener) Resumed(time.Duration)                      {}
 
 // lease is the TTL of the leases of host entries.
 const lease = 12 * time.Second
@@ -94,7 +94,7 @@
 		CallTimeout: durationpb.New(fakestore.Timeout), WatchWait: durationpb.New(800 * time.Millisecond),
 		WatchSlack: durationpb.New(400 * time.Millisecond), Lease: durationpb.New(lease),
 	}
-	m := &testHost{store: &fakestore.Parted{Store: c.store}}
+	m := &testHost{store: &fakestore.Partitioned{Store: c.store}}
 	m.Control = control.New(control.Config{
 		Suspended: func() time.Duration { return 0 },
 		Self:      self, Settings: settings, Seeds: []string{hostName("a", 0), hostName("b", 0), hostName("c", 0)}, RelaysPerDomain: 3,
@@ -158,7 +158,7 @@
 	return nil, errUnreachable
 }
 
-func (p *peers) Forget(string) {}
+func (p *peers) CloseIdle(string) {}
 
 func (p *peers) State(ctx context.Context, address string, r *relaypb.StateRequest) (*relaypb.StateReply, error) {
 	m, err := p.lookup(address)
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -54,7 +54,7 @@
 		log:            log,
 		commands:       make(chan func(), 64),
 		stopped:        make(chan struct{}),
-		members:        member.NewTable(self, member.Settings{Suspicion: suspicion}, rand.New(rand.NewPCG(self.Incarnation, 1))),
+		members:        member.NewTable(self, member.Settings{SuspicionTimeout: suspicion}, rand.New(rand.NewPCG(self.Incarnation, 1))),
 		holder:         config.NewHolder(),
 		draining:       drain.NewRegistry(),
 		services:       map[string]*home.Service{},
@@ -192,7 +192,7 @@
 
 // applyConfig applies a configuration if it is newer than the current one.
 func (c *control) applyConfig(head *configpb.Head, parts config.Parts) error {
-	applied, err := c.holder.Offer(head, parts)
+	applied, err := c.holder.Install(head, parts)
 	if err != nil {
 		return err
 	}
@@ -205,8 +205,8 @@
 }
 
 // learnLeaving records that a leaf is leaving.
-func (c *control) learnLeaving(f drain.Fact, source string) {
-	if c.draining.Learn(f, time.Now()) {
+func (c *control) learnLeaving(f drain.Notice, source string) {
+	if c.draining.Add(f, time.Now()) {
 		c.log.Info().Str("leaf", f.Address).Str("from", source).Msg("leaf is leaving")
 		c.dirty = true
 	}
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -36,18 +36,18 @@
 	errWrongReply = errors.New("the home returned the reply to another request: check that all entry hosts run the same version")
 )
 
-// ErrCut is returned by Run if a planned stop cut off requests.
-var ErrCut = errors.New("requests were cut off: raise drain_timeout in [shutdown]")
+// ErrRequestsAborted is returned by Run if a planned stop cut off requests.
+var ErrRequestsAborted = errors.New("requests were cut off: raise drain_timeout in [shutdown]")
 
 // httpShutdownTimeout bounds the wait for open HTTP connections at the end of a stop.
 const httpShutdownTimeout = 2 * time.Second
 
-// Edges holds the external dependencies of a daemon.
-type Edges struct {
-	Store platform.Store
-	Hosts platform.HostList
-	Leafs leaf.Client
-	Peers peer.Client
+// Dependencies holds the external dependencies of a daemon.
+type Dependencies struct {
+	Store  platform.Store
+	Hosts  platform.HostList
+	Leaves leaf.Client
+	Peers  peer.Client
 	// Identity is nil if TLS is disabled.
 	Identity *secure.Identity
 }
@@ -77,7 +77,7 @@
 
 // New returns a daemon; Start must be called before it serves. incarnation must
 // increase with each start of the host.
-func New(settings *settingspb.Entry, edges Edges, incarnation uint64, log zerolog.Logger) *Daemon {
+func New(settings *settingspb.Entry, edges Dependencies, incarnation uint64, log zerolog.Logger) *Daemon {
 	d := &Daemon{
 		name:        settings.GetHost().GetName(),
 		incarnation: incarnation,
@@ -85,7 +85,7 @@
 		log:         log,
 		store:       edges.Store,
 		hosts:       edges.Hosts,
-		leaves:      edges.Leafs,
+		leaves:      edges.Leaves,
 		peers:       edges.Peers,
 		identity:    edges.Identity,
 		ledger:      once.NewLedger(settings.GetHost().GetName(), incarnation),
@@ -111,19 +111,19 @@
 		selection = replica.Random
 	}
 	return home.NewService(name, d.leaves, home.Options{
-		Queue:         admission.Settings{Order: order, Length: int(traffic.GetQueueLength()), FloorShare: traffic.GetFloorShare()},
-		Selection:     selection,
-		Hedging:       traffic.GetHedging(),
-		HedgeQuantile: traffic.GetHedgeQuantile(),
-		ExtraShare:    traffic.GetExtraShare(),
-		Prefix:        fmt.Sprintf("%s/%d", d.name, d.incarnation),
-		Leaving: func(address string, incarnation uint64) {
+		Queue:            admission.Settings{Order: order, Length: int(traffic.GetQueueLength()), FloorShare: traffic.GetFloorShare()},
+		Selection:        selection,
+		Hedging:          traffic.GetHedging(),
+		HedgeQuantile:    traffic.GetHedgeQuantile(),
+		RetryBudgetRatio: traffic.GetExtraShare(),
+		AttemptIDPrefix:  fmt.Sprintf("%s/%d", d.name, d.incarnation),
+		OnLeafLeaving: func(address string, incarnation uint64) {
 			d.control.do(func() {
-				d.control.learnLeaving(drain.Fact{Address: address, Incarnation: incarnation, TTL: drain.FactTTL}, "the leaf itself")
+				d.control.learnLeaving(drain.Notice{Address: address, Incarnation: incarnation, TTL: drain.NoticeTTL}, "the leaf itself")
 			})
 			d.pushUpdates(d.ctx)
 		},
-		Seen: func(address string, incarnation uint64) {
+		OnLeafRestarted: func(address string, incarnation uint64) {
 			d.control.do(func() { d.control.learnRestarted(address, incarnation) })
 		},
 		Seed: d.incarnation,
@@ -147,10 +147,10 @@
 // View returns the current control state.
 func (d *Daemon) View() *View { return d.control.view() }
 
-// Leave begins a planned stop: it announces the stop to the host list, the load
+// BeginStop begins a planned stop: it announces the stop to the host list, the load
 // balancer (by Ready) and the members, and other hosts take over this host's services
 // and roles. Requests that still arrive are served.
-func (d *Daemon) Leave(ctx context.Context) {
+func (d *Daemon) BeginStop(ctx context.Context) {
 	d.control.do(func() {
 		d.control.stopping = true
 		d.control.dirty = true
@@ -160,9 +160,9 @@
 	go d.announceState(ctx, platformpb.HostState_HOST_LEAVING)
 }
 
-// Drained waits until no request is in flight. If ctx ends first, it returns the number
+// WaitDrained waits until no request is in flight. If ctx ends first, it returns the number
 // of requests that still are.
-func (d *Daemon) Drained(ctx context.Context) int {
+func (d *Daemon) WaitDrained(ctx context.Context) int {
 	for {
 		n := d.inFlight.Count()
 		if n == 0 {
@@ -177,7 +177,7 @@
 }
 
 // Run serves on the configured listeners until stop is closed and then performs a
-// planned stop. It returns ErrCut if requests were cut off.
+// planned stop. It returns ErrRequestsAborted if requests were cut off.
 func (d *Daemon) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -190,7 +190,7 @@
 	d.log.Info().Msg("entry host started")
 	<-stop
 	d.log.Info().Msg("planned stop begins")
-	d.Leave(ctx)
+	d.BeginStop(ctx)
 	time.Sleep(d.settings.GetShutdown().GetBalancerLag().AsDuration())
 	return d.finish(s)
 }
@@ -210,11 +210,11 @@
 	case <-stopped:
 	case <-ctx.Done():
 	}
-	cutOff := d.Drained(ctx)
+	cutOff := d.WaitDrained(ctx)
 	s.close()
 	d.log.Info().Int("cut", cutOff).Msg("planned stop ended")
 	if cutOff > 0 {
-		return fmt.Errorf("%w (%d)", ErrCut, cutOff)
+		return fmt.Errorf("%w (%d)", ErrRequestsAborted, cutOff)
 	}
 	return nil
 }
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -42,7 +42,7 @@
 	var message *peerpb.GossipMessage
 	d.control.do(func() {
 		message = d.gossipMessage()
-		if claim, ok := d.control.members.Suspicion(target.Host); ok {
+		if claim, ok := d.control.members.ClaimAgainst(target.Host); ok {
 			message.Members = append(message.Members, toProto(claim))
 		}
 	})
@@ -53,7 +53,7 @@
 	reply, err := d.peers.Gossip(ctx, target.Address, message)
 	if err != nil {
 		obs.CountHeartbeat("failed")
-		d.control.do(func() { d.control.members.Failed(target.Host, time.Now()) })
+		d.control.do(func() { d.control.members.ProbeFailed(target.Host, time.Now()) })
 		return false
 	}
 	obs.CountHeartbeat("answered")
@@ -70,10 +70,10 @@
 func (d *Daemon) gossipMessage() *peerpb.GossipMessage {
 	c := d.control
 	message := &peerpb.GossipMessage{From: c.members.Self().Host, Revision: c.holder.Revision()}
-	for _, f := range c.members.Facts() {
+	for _, f := range c.members.PendingFacts() {
 		message.Members = append(message.Members, toProto(f))
 	}
-	for _, f := range c.draining.Announce(time.Now()) {
+	for _, f := range c.draining.Pending(time.Now()) {
 		message.Leaves = append(message.Leaves, &peerpb.LeafFact{
 			Address: f.Address, Incarnation: f.Incarnation, TtlMs: uint32(f.TTL.Milliseconds()),
 		})
@@ -91,12 +91,12 @@
 	d.control.do(func() {
 		now := time.Now()
 		if fullTable {
-			d.control.members.Adopt(facts, now)
+			d.control.members.LoadFacts(facts, now)
 		} else {
 			d.control.members.Merge(facts, now)
 		}
 		for _, f := range message.GetLeaves() {
-			d.control.learnLeaving(drain.Fact{
+			d.control.learnLeaving(drain.Notice{
 				Address:     f.GetAddress(),
 				Incarnation: f.GetIncarnation(),
 				TTL:         time.Duration(f.GetTtlMs()) * time.Millisecond,
@@ -117,7 +117,7 @@
 				reply.Members = append(reply.Members, toProto(f))
 			}
 		}
-		if claim, ok := d.control.members.Suspicion(message.GetFrom()); ok {
+		if claim, ok := d.control.members.ClaimAgainst(message.GetFrom()); ok {
 			reply.Members = append(reply.Members, toProto(claim))
 		}
 	})
--- a/internal/entry/listen_test.go
+++ b/internal/entry/listen_test.go
@@ -31,8 +31,8 @@
 		Traffic:    &settingspb.TrafficSection{DefaultDeadline: durationpb.New(time.Second)},
 	}
 	p := platformfake.New()
-	d := New(settings, Edges{
-		Store: p, Hosts: p, Leafs: leaffake.New(1, 0, 0), Peers: peerfake.New(0).Client("here"),
+	d := New(settings, Dependencies{
+		Store: p, Hosts: p, Leaves: leaffake.New(1, 0, 0), Peers: peerfake.New(0).Client("here"),
 	}, 1, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -63,7 +63,7 @@
 		reply.Changed = conflict.Changed
 	case errors.Is(err, config.ErrUnavailable):
 		reply.Outcome = operatorpb.ApplyOutcome_STORE_UNAVAILABLE
-	case errors.Is(err, config.ErrUnknown):
+	case errors.Is(err, config.ErrOutcomeUnknown):
 		reply.Outcome = operatorpb.ApplyOutcome_OUTCOME_UNKNOWN
 	}
 	return reply
--- a/internal/entry/redeem.go
+++ b/internal/entry/redeem.go
@@ -21,7 +21,7 @@
 // run, and the reply contains the ticket to resend it with.
 func (d *Daemon) mintTicket(req *callerpb.AskRequest) *callerpb.AskReply {
 	if d.ledger.Redeemed(req.GetDesk(), req.GetService(), req.GetRequestId()) {
-		return home.Unknown(req, callerpb.Reason_TICKET_USED, "the request was sent with a ticket before: resend it with that ticket", 0)
+		return home.OutcomeUnknown(req, callerpb.Reason_TICKET_USED, "the request was sent with a ticket before: resend it with that ticket", 0)
 	}
 	reply := home.NotRun(req, callerpb.Reason_TICKET_REQUIRED, "a non-repeatable request needs a ticket: resend it with the ticket in this reply", 0)
 	reply.Ticket = d.ledger.Mint(req.GetDesk(), req.GetService(), req.GetRequestId())
@@ -33,18 +33,18 @@
 func (d *Daemon) redeemAtMinter(ctx context.Context, v *View, req *callerpb.AskRequest) *callerpb.AskReply {
 	ticket, err := once.Decode(req.GetTicket())
 	if err != nil {
-		return home.Unknown(req, callerpb.Reason_TICKET_INVALID, err.Error(), 0)
+		return home.OutcomeUnknown(req, callerpb.Reason_TICKET_INVALID, err.Error(), 0)
 	}
 	minter := v.Self
 	if ticket.Host != d.name {
 		var ok bool
 		if minter, ok = v.Member(ticket.Host); !ok {
-			return home.Unknown(req, callerpb.Reason_TICKET_HOST_GONE, "the host that minted the ticket is gone; "+outcomeLostAdvice, 0)
+			return home.OutcomeUnknown(req, callerpb.Reason_TICKET_HOST_GONE, "the host that minted the ticket is gone; "+outcomeLostAdvice, 0)
 		}
 	}
 	reply, err := d.runAt(ctx, minter, req)
 	if err != nil {
-		return home.Unknown(req, callerpb.Reason_PEER_LOST, "the host that minted the ticket does not answer: resend with the same ticket", peerLostRetryAfter)
+		return home.OutcomeUnknown(req, callerpb.Reason_PEER_LOST, "the host that minted the ticket does not answer: resend with the same ticket", peerLostRetryAfter)
 	}
 	return reply
 }
@@ -54,24 +54,24 @@
 func (d *Daemon) redeemTicket(ctx context.Context, req *callerpb.AskRequest) *callerpb.AskReply {
 	ticket, err := once.Decode(req.GetTicket())
 	if err != nil {
-		return home.Unknown(req, callerpb.Reason_TICKET_INVALID, err.Error(), 0)
+		return home.OutcomeUnknown(req, callerpb.Reason_TICKET_INVALID, err.Error(), 0)
 	}
 	decision, outcome, done := d.ledger.Redeem(ticket, req.GetDesk(), req.GetService(), req.GetRequestId())
 	switch decision {
-	case once.Run:
+	case once.Execute:
 		return d.runOnce(ctx, ticket, req)
 	case once.Replay:
 		return replayOutcome(req, outcome)
 	case once.InProgress:
 		return d.awaitOutcome(ctx, ticket, req, done)
-	case once.Used:
-		return home.Unknown(req, callerpb.Reason_TICKET_USED, "the request was sent before and its outcome is no longer stored: check the backend's records", 0)
+	case once.OutcomeExpired:
+		return home.OutcomeUnknown(req, callerpb.Reason_TICKET_USED, "the request was sent before and its outcome is no longer stored: check the backend's records", 0)
 	case once.OtherRequest:
-		return home.Unknown(req, callerpb.Reason_TICKET_IN_USE, "the ticket belongs to another request: send each request with its own ticket", 0)
+		return home.OutcomeUnknown(req, callerpb.Reason_TICKET_IN_USE, "the ticket belongs to another request: send each request with its own ticket", 0)
 	case once.HostGone, once.OtherHost:
-		return home.Unknown(req, callerpb.Reason_TICKET_HOST_GONE, "the host that minted the ticket was restarted; "+outcomeLostAdvice, 0)
+		return home.OutcomeUnknown(req, callerpb.Reason_TICKET_HOST_GONE, "the host that minted the ticket was restarted; "+outcomeLostAdvice, 0)
 	default:
-		return home.Unknown(req, callerpb.Reason_TICKET_INVALID, "the ticket was not minted for this desk and service: use the ticket that was minted for the request", 0)
+		return home.OutcomeUnknown(req, callerpb.Reason_TICKET_INVALID, "the ticket was not minted for this desk and service: use the ticket that was minted for the request", 0)
 	}
 }
 
@@ -109,7 +109,7 @@
 	case <-done:
 		return d.redeemTicket(ctx, req)
 	case <-ctx.Done():
-		return home.Unknown(req, callerpb.Reason_TICKET_IN_USE, "the request is running: resend it with the same ticket for its outcome", inProgressRetryAfter)
+		return home.OutcomeUnknown(req, callerpb.Reason_TICKET_IN_USE, "the request is running: resend it with the same ticket for its outcome", inProgressRetryAfter)
 	}
 }
 
@@ -117,7 +117,7 @@
 func replayOutcome(req *callerpb.AskRequest, outcome []byte) *callerpb.AskReply {
 	reply := &callerpb.AskReply{}
 	if proto.Unmarshal(outcome, reply) != nil || len(outcome) == 0 {
-		return home.Unknown(req, callerpb.Reason_TICKET_USED, "the request was sent before and its outcome cannot be decoded: check the backend's records", 0)
+		return home.OutcomeUnknown(req, callerpb.Reason_TICKET_USED, "the request was sent before and its outcome cannot be decoded: check the backend's records", 0)
 	}
 	return reply
 }
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -81,7 +81,7 @@
 // outcome is UNKNOWN and not NOT_RUN.
 func (d *Daemon) refuse(req *callerpb.AskRequest, reason callerpb.Reason, message string, retryAfter time.Duration) *callerpb.AskReply {
 	if len(req.GetTicket()) > 0 {
-		return home.Unknown(req, reason, message+"; then resend with the same ticket", retryAfter)
+		return home.OutcomeUnknown(req, reason, message+"; then resend with the same ticket", retryAfter)
 	}
 	return home.NotRun(req, reason, message, retryAfter)
 }
@@ -107,14 +107,14 @@
 		lost[target.Host] = true
 		if peer.Unreachable(err) {
 			obs.Counter("mallowgap_forward_retries_total", "reason", "unreachable").Inc()
-			d.control.do(func() { d.control.members.Failed(target.Host, time.Now()) })
+			d.control.do(func() { d.control.members.ProbeFailed(target.Host, time.Now()) })
 			continue
 		}
 		obs.Counter("mallowgap_forward_retries_total", "reason", "lost").Inc()
 		mayHaveRun = mayHaveRun || !req.GetNotRepeatable()
 	}
 	if mayHaveRun {
-		return home.Unknown(req, callerpb.Reason_PEER_LOST, "the entry host that ran the request was lost: repeat the request", peerLostRetryAfter)
+		return home.OutcomeUnknown(req, callerpb.Reason_PEER_LOST, "the entry host that ran the request was lost: repeat the request", peerLostRetryAfter)
 	}
 	return home.NotRun(req, callerpb.Reason_PEER_LOST, "no home of the service is reachable: retry later", peerLostRetryAfter)
 }
@@ -171,7 +171,7 @@
 	timer := time.AfterFunc(max(remaining/silenceDivisor, minSilenceTimeout), func() {
 		if d.lastReplies.last(host).Before(sent) {
 			obs.Counter("mallowgap_forward_retries_total", "reason", "silent").Inc()
-			d.control.do(func() { d.control.members.Failed(host, time.Now()) })
+			d.control.do(func() { d.control.members.ProbeFailed(host, time.Now()) })
 			cancel()
 		}
 	})
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -137,7 +137,7 @@
 func (d *Daemon) adoptHead(head *configpb.Head, fetch func(missing []config.Digest) (config.Parts, error)) error {
 	var missing []config.Digest
 	var err error
-	d.control.do(func() { missing, err = d.control.holder.Lacking(head) })
+	d.control.do(func() { missing, err = d.control.holder.MissingParts(head) })
 	if err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 		d.control.members.Merge(entries, time.Now())
 		for _, h := range hosts {
 			if h.GetKind() == platformpb.HostKind_LEAF && h.GetState() == platformpb.HostState_HOST_LEAVING {
-				d.control.learnLeaving(drain.Fact{Address: h.GetAddress(), Incarnation: h.GetIncarnation(), TTL: drain.FactTTL}, "host list")
+				d.control.learnLeaving(drain.Notice{Address: h.GetAddress(), Incarnation: h.GetIncarnation(), TTL: drain.NoticeTTL}, "host list")
 			}
 		}
 	})
@@ -253,7 +253,7 @@
 	reply := &peerpb.FetchPartsReply{}
 	ok := d.control.do(func() {
 		for _, name := range request.GetDigests() {
-			digest, _ := config.ToDigest(name)
+			digest, _ := config.DigestFromBytes(name)
 			part, _ := d.control.holder.Part(digest)
 			reply.Parts = append(reply.Parts, part)
 		}
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -67,8 +67,8 @@
 // share returns this host's share of the service's slots. A host that is not a home but
 // gets a request, because the sender sees other members, uses the first share; the
 // leaf's own limit then applies.
-func (p *Placement) share() home.Share {
-	return home.Share{Homes: max(len(p.Homes), 1), Index: max(p.Index, 0)}
+func (p *Placement) share() home.SlotShare {
+	return home.SlotShare{Homes: max(len(p.Homes), 1), Index: max(p.Index, 0)}
 }
 
 // candidates returns the members that homes and roles may be placed on. Suspect members
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -66,16 +66,16 @@
 	return l, l.Message != ""
 }
 
-// Story is the history of a request.
-type Story struct {
+// History is the history of a request.
+type History struct {
 	// Lines are ordered by time.
 	Lines []Line
 	// Gaps describe the information that is missing from the logs.
 	Gaps []string
 }
 
-// Of returns the history of the request with the given identifier.
-func Of(lines []Line, request string) Story {
+// HistoryOf returns the history of the request with the given identifier.
+func HistoryOf(lines []Line, request string) History {
 	var requestLines []Line
 	for _, l := range lines {
 		if l.Request == request {
@@ -83,9 +83,9 @@
 		}
 	}
 	if len(requestLines) == 0 {
-		return Story{Gaps: []string{"no line mentions the request: it did not reach these hosts, or its line was dropped (mallowgap_log_lines_sampled_total, mallowgap_log_lines_dropped_total)"}}
+		return History{Gaps: []string{"no line mentions the request: it did not reach these hosts, or its line was dropped (mallowgap_log_lines_sampled_total, mallowgap_log_lines_dropped_total)"}}
 	}
-	s := Story{Lines: slices.Concat(requestLines, stateChanges(lines, requestLines), sameFingerprint(lines, requestLines))}
+	s := History{Lines: slices.Concat(requestLines, stateChanges(lines, requestLines), sameFingerprint(lines, requestLines))}
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
 	s.Gaps = append(requestGaps(requestLines), sampledGaps(s.Lines)...)
 	return s
@@ -208,7 +208,7 @@
 var commonFields = map[string]bool{"time": true, "host": true, "message": true, "level": true, "request": true}
 
 // Write prints the history, each log line followed by its notes.
-func (s Story) Write(w io.Writer) error {
+func (s History) Write(w io.Writer) error {
 	for _, l := range s.Lines {
 		if _, err := fmt.Fprintf(w, "%s %s: %s%s\n", l.Time.Format("15:04:05.000"), l.Host, l.Message, l.details()); err != nil {
 			return err
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -26,7 +26,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, skipped, 2)
 	var out strings.Builder
-	assert.NilError(t, explain.Of(lines, request).Write(&out))
+	assert.NilError(t, explain.HistoryOf(lines, request).Write(&out))
 	return out.String()
 }
 
@@ -48,7 +48,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		lines, _, err := explain.Read(strings.NewReader(text))
 		if err == nil {
-			assert.NilError(t, explain.Of(lines, "r1").Write(&strings.Builder{}))
+			assert.NilError(t, explain.HistoryOf(lines, "r1").Write(&strings.Builder{}))
 		}
 	})
 }
@@ -62,7 +62,7 @@
 `
 	lines, _, err := explain.Read(strings.NewReader(log))
 	assert.NilError(t, err)
-	story := explain.Of(lines, "r1")
+	story := explain.HistoryOf(lines, "r1")
 	assert.Equal(t, len(story.Lines), 2)
 	assert.DeepEqual(t, story.Gaps, []string{"h1 dropped 12 lines before 10:00:00.000"})
 }
--- a/internal/explain/profile.go
+++ b/internal/explain/profile.go
@@ -30,8 +30,8 @@
 	asked [lastAskedColumn + 1]int
 }
 
-// ProfileOf builds a profile from the lines of queries over shards; others are ignored.
-func ProfileOf(lines []Line) Profile {
+// NewProfile builds a profile from the lines of queries over shards; others are ignored.
+func NewProfile(lines []Line) Profile {
 	p := Profile{byRoute: map[string]*routeProfile{}}
 	for _, l := range lines {
 		if _, gathered := l.Fields["parts"]; l.Message != "request" || !gathered {
--- a/internal/explain/profile_test.go
+++ b/internal/explain/profile_test.go
@@ -17,7 +17,7 @@
 	lines, _, err := explain.Read(strings.NewReader(log))
 	assert.NilError(t, err)
 	var out strings.Builder
-	assert.NilError(t, explain.ProfileOf(lines).Write(&out))
+	assert.NilError(t, explain.NewProfile(lines).Write(&out))
 	rows := strings.Split(strings.TrimSpace(out.String()), "\n")
 	assert.Equal(t, len(rows), 2, out.String())
 	assert.DeepEqual(t, strings.Fields(rows[1]), []string{"2", "q", "90.0", "90.0", "90.0", "0.50", "1.50", "1", "1", "1", "3.0", "0.5", "0.5"})
--- a/internal/explain/quarantine.go
+++ b/internal/explain/quarantine.go
@@ -19,9 +19,9 @@
 	sameEndWindow = 200 * time.Millisecond
 )
 
-// Quarantine summarizes the requests during which servers ended, by fingerprint: the servers
+// QuarantineSummary summarizes the requests during which servers ended, by fingerprint: the servers
 // that ended, the quarantine standing, and the other requests that the servers' ends affected.
-type Quarantine struct {
+type QuarantineSummary struct {
 	reports map[string]*fingerprintReport
 	// ends holds the lines about ended servers, by server.
 	ends map[string][]Line
@@ -42,9 +42,9 @@
 	collateral map[string]bool
 }
 
-// QuarantineOf builds a summary from the lines about requests during which servers ended.
-func QuarantineOf(lines []Line) Quarantine {
-	q := Quarantine{reports: map[string]*fingerprintReport{}, ends: map[string][]Line{}}
+// NewQuarantineSummary builds a summary from the lines about requests during which servers ended.
+func NewQuarantineSummary(lines []Line) QuarantineSummary {
+	q := QuarantineSummary{reports: map[string]*fingerprintReport{}, ends: map[string][]Line{}}
 	for _, l := range lines {
 		fingerprint := l.textField("fingerprint")
 		if fingerprint == "" {
@@ -67,7 +67,7 @@
 	return q
 }
 
-func (q Quarantine) report(fingerprint string) *fingerprintReport {
+func (q QuarantineSummary) report(fingerprint string) *fingerprintReport {
 	c := q.reports[fingerprint]
 	if c == nil {
 		c = &fingerprintReport{
@@ -106,7 +106,7 @@
 
 // addCollateral records, for each end of a server, the requests with other fingerprints that
 // lost the server at the same time. ends are those of one server.
-func (q Quarantine) addCollateral(ends []Line) {
+func (q QuarantineSummary) addCollateral(ends []Line) {
 	for _, end := range ends {
 		for _, other := range ends {
 			gap := other.Time.Sub(end.Time).Abs()
@@ -118,7 +118,7 @@
 }
 
 // Write prints a table, the fingerprint with the most ends first.
-func (q Quarantine) Write(w io.Writer) error {
+func (q QuarantineSummary) Write(w io.Writer) error {
 	var sorted []*fingerprintReport
 	for _, c := range q.reports {
 		sorted = append(sorted, c)
--- a/internal/explain/quarantine_test.go
+++ b/internal/explain/quarantine_test.go
@@ -24,13 +24,13 @@
 	lines, _, err := explain.Read(strings.NewReader(quarantineLogs))
 	assert.NilError(t, err)
 	var table strings.Builder
-	assert.NilError(t, explain.QuarantineOf(lines).Write(&table))
+	assert.NilError(t, explain.NewQuarantineSummary(lines).Write(&table))
 	rows := strings.Split(table.String(), "\n")
 	assert.DeepEqual(t, strings.Fields(rows[1]), strings.Fields("aa barred 2 2 2 10:00:00.000 10:00:01.000 10:00:01.100 to 10:00:01.500 (2) 1 1 GET x/y (route q)"))
 	assert.Assert(t, strings.HasPrefix(rows[2], "bb"), table.String())
 
 	var story strings.Builder
-	assert.NilError(t, explain.Of(lines, "r3").Write(&story))
+	assert.NilError(t, explain.HistoryOf(lines, "r3").Write(&story))
 	assert.Equal(t, strings.Count(story.String(), "server ended with a request"), 2, story.String())
 	assert.Equal(t, strings.Count(story.String(), "has changed"), 2, story.String())
 }
--- a/internal/gateway/absent.go
+++ b/internal/gateway/absent.go
@@ -69,17 +69,17 @@
 func (q *query) lacksServers(now time.Time) bool {
 	present, pending := 0, map[int]bool(nil)
 	for n, g := range q.groups {
-		switch presence, _ := g.presence(q.entry.Homes, now); presence {
+		switch presence, _ := g.presence(q.entry.HomeRegions, now); presence {
 		case replica.Present:
 			present++
-		case replica.Doubtful:
+		case replica.RetryDue:
 			if pending == nil {
 				pending = map[int]bool{} // Allocated only if needed, as few queries lack servers.
 			}
 			pending[n] = true
 		}
 	}
-	needed := q.state.Needed()
+	needed := q.state.MinShards()
 	if present >= needed {
 		return false
 	}
@@ -92,7 +92,7 @@
 func (q *query) absentAnswer(now time.Time) Answer {
 	absentShards, latestLoss, name := 0, time.Time{}, ""
 	for _, g := range q.groups {
-		presence, since := g.presence(q.entry.Homes, now)
+		presence, since := g.presence(q.entry.HomeRegions, now)
 		if presence == replica.Present {
 			continue
 		}
@@ -103,12 +103,12 @@
 	}
 	reason := fmt.Sprintf("nothing listens at the servers of %d of %d shards, at those of %s for %v: start them",
 		absentShards, len(q.groups), name, now.Sub(latestLoss).Round(time.Millisecond))
-	return notRun(CodeAbsent, reason, min(max(now.Sub(latestLoss), minAbsentRetryAfter), maxAbsentRetryAfter))
+	return notRun(CauseAbsent, reason, min(max(now.Sub(latestLoss), minAbsentRetryAfter), maxAbsentRetryAfter))
 }
 
 // presence returns whether the servers that may see a request with the given homes are present, and
 // if not, since when.
-func (g *group) presence(homes route.Homes, now time.Time) (replica.Presence, time.Time) {
+func (g *group) presence(homes route.HomeRegions, now time.Time) (replica.Presence, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.set.Presence(g.outsideHomes(homes), now)
--- a/internal/gateway/absent_test.go
+++ b/internal/gateway/absent_test.go
@@ -48,7 +48,7 @@
 		answers, took := cl.askRepeatedly("host1", 50*time.Millisecond, 3*time.Second)
 		for i, a := range answers {
 			assert.Equal(t, a.Outcome, NotRun, "%+v", a)
-			assert.Equal(t, a.Code, CodeAbsent, "%+v", a)
+			assert.Equal(t, a.Cause, CauseAbsent, "%+v", a)
 			assert.Assert(t, a.RetryAfter >= minAbsentRetryAfter, "%v", a.RetryAfter)
 			assert.Assert(t, took[i] <= 25*time.Millisecond, "%v", took[i])
 		}
@@ -93,7 +93,7 @@
 			began := time.Now()
 			a := cl.ask("host1", path)
 			assert.Equal(t, a.Outcome, NotRun, "%+v", a)
-			assert.Equal(t, a.Code, CodeAbsent, "%+v", a)
+			assert.Equal(t, a.Cause, CauseAbsent, "%+v", a)
 			assert.Equal(t, time.Since(began), time.Duration(0))
 		}
 		cl.leafs.set("single", nil)
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -15,15 +15,15 @@
 // not, it returns the refusal.
 func (q *query) admit(now time.Time) (Answer, bool) {
 	waited := q.gateway.callerWaited(q.entry.Name, q.request.Timeout, now)
-	ask := admission.Ask{Rank: q.entry.Rank(), Objective: q.objective, Late: waited > q.objective, Wait: q.serverWait(now)}
+	ask := admission.Request{Rank: q.entry.Rank(), Objective: q.objective, Late: waited > q.objective, Wait: q.serverWait(now)}
 	v := q.groups[0].askGate(ask, now)
-	q.trace.wait, q.trace.chance = ask.Wait, v.Chance
+	q.trace.wait, q.trace.chance = ask.Wait, v.Probability
 	if v.Admitted {
 		return Answer{}, true
 	}
 	reason := fmt.Sprintf("overloaded: expected wait at the servers %v, objective %v, caller waited %v, admission probability %.2f at rank %d",
-		ask.Wait.Round(time.Millisecond), q.objective, waited, v.Chance, ask.Rank)
-	return notRun(CodeOverloaded, reason, v.RetryAfter), false
+		ask.Wait.Round(time.Millisecond), q.objective, waited, v.Probability, ask.Rank)
+	return notRun(CauseOverloaded, reason, v.RetryAfter), false
 }
 
 // callerWaited estimates how long a caller of a route had waited before this attempt.
@@ -35,7 +35,7 @@
 	defer g.callerWaitsMu.Unlock()
 	wait := g.callerWaits[route]
 	if wait == nil {
-		wait = &admission.Patience{}
+		wait = &admission.WaitEstimator{}
 		g.callerWaits[route] = wait
 	}
 	return wait.Waited(timeout, now)
@@ -45,7 +45,7 @@
 func (g *Gateway) pruneCallerWaits(known func(route string) bool) {
 	g.callerWaitsMu.Lock()
 	defer g.callerWaitsMu.Unlock()
-	maps.DeleteFunc(g.callerWaits, func(route string, _ *admission.Patience) bool { return !known(route) })
+	maps.DeleteFunc(g.callerWaits, func(route string, _ *admission.WaitEstimator) bool { return !known(route) })
 }
 
 // serverWait estimates how long the request would wait at the servers: the shortest wait within
@@ -53,24 +53,24 @@
 func (q *query) serverWait(now time.Time) time.Duration {
 	waits := make([]time.Duration, 0, len(q.groups))
 	for _, g := range q.groups {
-		waits = append(waits, g.leastWait(q.entry.Homes, now))
+		waits = append(waits, g.leastWait(q.entry.HomeRegions, now))
 	}
 	slices.Sort(waits)
-	return waits[q.state.Needed()-1]
+	return waits[q.state.MinShards()-1]
 }
 
 // askGate asks the admission gate of the service about a request.
-func (g *group) askGate(ask admission.Ask, now time.Time) admission.Verdict {
+func (g *group) askGate(ask admission.Request, now time.Time) admission.Decision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.Offer(ask, now)
 }
 
 // leastWait estimates the wait of a request at the server with the shortest wait.
-func (g *group) leastWait(homes route.Homes, now time.Time) time.Duration {
+func (g *group) leastWait(homes route.HomeRegions, now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.set.LeastWait(g.outsideHomes(homes), now)
+	return g.set.MinWait(g.outsideHomes(homes), now)
 }
 
 // overloaded reports whether requests are being refused for lack of capacity.
@@ -88,7 +88,7 @@
 	defer g.mu.Unlock()
 	for _, r := range results {
 		if r.outcome == relaypb.Outcome_PART && r.runTime > 0 {
-			g.gate.Ran(q.entry.Rank(), r.runTime)
+			g.gate.ObserveCost(q.entry.Rank(), r.runTime)
 		}
 	}
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -37,59 +37,59 @@
 	return [...]string{"forwarded", "gathered", "no_route", "malformed", "too_large", "header_too_large", "not_run", "failed", "timed_out", "caller_left"}[o]
 }
 
-// Code is the cause of an answer that is not a complete success, for metrics and alerts.
-type Code string
+// Cause is the cause of an answer that is not a complete success, for metrics and alerts.
+type Cause string
 
 // Causes of incomplete and failed answers.
 const (
-	CodeNone Code = ""
-	// CodeNoConfig: no configuration is known yet.
-	CodeNoConfig Code = "no_configuration"
-	// CodeNoID: the request has no identifier.
-	CodeNoID Code = "no_identifier"
-	// CodeBodySize: the body exceeds the limit.
-	CodeBodySize Code = "body_size"
-	// CodeHeaderSize: the header exceeds the limit.
-	CodeHeaderSize Code = "header_size"
-	// CodeNoRoute: no route matches the request.
-	CodeNoRoute Code = "no_route"
-	// CodeNoTime: the caller's timeout expired before an attempt was made.
-	CodeNoTime Code = "no_time"
-	// CodeNoServer: the service has no server in service.
-	CodeNoServer Code = "no_server"
-	// CodeNoHome: the service has no server in service in the homes of the route.
-	CodeNoHome Code = "no_home"
-	// CodeEvacuated: the failure domains of all servers of a service are evacuated.
-	CodeEvacuated Code = "evacuated"
-	// CodeCutOff: the host reaches no other failure domain, and its own lacks servers.
-	CodeCutOff Code = "cut_off"
-	// CodeOverloaded: the request would wait too long at the servers.
-	CodeOverloaded Code = "overloaded"
-	// CodeBusy: all servers of the service are busy.
-	CodeBusy Code = "busy"
-	// CodeRefused: servers refused the request.
-	CodeRefused Code = "refused"
-	// CodeUnreachable: connections to servers failed.
-	CodeUnreachable Code = "unreachable"
-	// CodeAbsent: too many shards have no server that listens at its address.
-	CodeAbsent Code = "absent"
-	// CodeServerFailed: servers failed or connections were lost.
-	CodeServerFailed Code = "server_failed"
-	// CodeSlow: servers did not answer in time.
-	CodeSlow Code = "slow"
-	// CodeBarred: the request is barred because servers exit when they run it.
-	CodeBarred Code = "barred"
-	// CodeSuspect: servers exited when they ran the request, and the trial by another query was not
+	CauseNone Cause = ""
+	// CauseNoConfig: no configuration is known yet.
+	CauseNoConfig Cause = "no_configuration"
+	// CauseNoID: the request has no identifier.
+	CauseNoID Cause = "no_identifier"
+	// CauseBodySize: the body exceeds the limit.
+	CauseBodySize Cause = "body_size"
+	// CauseHeaderSize: the header exceeds the limit.
+	CauseHeaderSize Cause = "header_size"
+	// CauseNoRoute: no route matches the request.
+	CauseNoRoute Cause = "no_route"
+	// CauseNoTime: the caller's timeout expired before an attempt was made.
+	CauseNoTime Cause = "no_time"
+	// CauseNoServer: the service has no server in service.
+	CauseNoServer Cause = "no_server"
+	// CauseNoHome: the service has no server in service in the homes of the route.
+	CauseNoHome Cause = "no_home"
+	// CauseEvacuated: the failure domains of all servers of a service are evacuated.
+	CauseEvacuated Cause = "evacuated"
+	// CauseCutOff: the host reaches no other failure domain, and its own lacks servers.
+	CauseCutOff Cause = "cut_off"
+	// CauseOverloaded: the request would wait too long at the servers.
+	CauseOverloaded Cause = "overloaded"
+	// CauseBusy: all servers of the service are busy.
+	CauseBusy Cause = "busy"
+	// CauseRefused: servers refused the request.
+	CauseRefused Cause = "refused"
+	// CauseUnreachable: connections to servers failed.
+	CauseUnreachable Cause = "unreachable"
+	// CauseAbsent: too many shards have no server that listens at its address.
+	CauseAbsent Cause = "absent"
+	// CauseServerFailed: servers failed or connections were lost.
+	CauseServerFailed Cause = "server_failed"
+	// CauseSlow: servers did not answer in time.
+	CauseSlow Cause = "slow"
+	// CauseBarred: the request is barred because servers exit when they run it.
+	CauseBarred Cause = "barred"
+	// CauseSuspect: servers exited when they ran the request, and the trial by another query was not
 	// decided in time.
-	CodeSuspect Code = "suspect"
-	// CodeCallerLeft: the caller closed its connection.
-	CodeCallerLeft Code = "caller_left"
+	CauseSuspect Cause = "suspect"
+	// CauseCallerLeft: the caller closed its connection.
+	CauseCallerLeft Cause = "caller_left"
 )
 
 // Answer is the answer to a caller.
 type Answer struct {
 	Outcome Outcome
-	Code    Code
+	Cause   Cause
 	// Reason says why the request was not served, or not completely.
 	Reason string
 	// RetryAfter is when to retry a request that was not run.
@@ -100,6 +100,6 @@
 	Gathered fanout.Answer
 }
 
-func notRun(code Code, reason string, retryAfter time.Duration) Answer {
-	return Answer{Outcome: NotRun, Code: code, Reason: reason, RetryAfter: retryAfter}
+func notRun(code Cause, reason string, retryAfter time.Duration) Answer {
+	return Answer{Outcome: NotRun, Cause: code, Reason: reason, RetryAfter: retryAfter}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -30,7 +30,7 @@
 	}
 	var attempts []attempt
 	verdicts := q.scarcityVerdicts(now)
-	for _, need := range q.state.Needs(now) {
+	for _, need := range q.state.DueAttempts(now) {
 		if need.Hedge && q.holdsHedges(now) {
 			q.holdShard(need.Shard, q.hedgesFrom())
 			continue
@@ -43,7 +43,7 @@
 		if verdicts != nil && !need.Hedge && !q.absence.pending[need.Shard] {
 			verdict = verdicts[need.Shard]
 		}
-		if verdict == scarcity.LeaveOut {
+		if verdict == scarcity.Skip {
 			q.leaveOut(need.Shard, now)
 			continue
 		}
@@ -73,7 +73,7 @@
 // time.
 func (q *query) holdShard(n int, until time.Time) {
 	q.trial.heldShards = append(q.trial.heldShards, n)
-	q.state.Later(n, until)
+	q.state.Postpone(n, until)
 }
 
 // sendAttempts sends attempts directly, or grouped by failure domain through a relay there if one
@@ -109,8 +109,8 @@
 // deferColdAttempt gives up an attempt at a cold server that this host may not call itself.
 func (q *query) deferColdAttempt(a attempt, now time.Time) {
 	a.call.abandon()
-	q.failure, q.code = "the server is cold and none of the hosts that may call it can be reached", CodeBusy
-	q.state.Later(a.shard, now.Add(deniedRetryDelay))
+	q.failure, q.cause = "the server is cold and none of the hosts that may call it can be reached", CauseBusy
+	q.state.Postpone(a.shard, now.Add(deniedRetryDelay))
 }
 
 // scarcityVerdicts returns a verdict for each shard, or nil if no shard is scarce.
@@ -120,14 +120,14 @@
 	}
 	shards := make([]scarcity.Shard, len(q.groups))
 	for n, g := range q.groups {
-		expected, run := g.soonest(q.entry.Homes, now)
-		shards[n] = scarcity.Shard{State: q.shardState(n, now), Run: run, Expected: expected}
+		expected, run := g.soonest(q.entry.HomeRegions, now)
+		shards[n] = scarcity.Shard{State: q.shardState(n, now), ServiceTime: run, Expected: expected}
 	}
-	return q.choice.Decide(shards, scarcity.Terms{Needed: q.state.Needed(), Spare: q.entry.Spare, Objective: q.objective, Left: q.timeLeft(now)})
+	return q.choice.Decide(shards, scarcity.Requirements{Needed: q.state.MinShards(), MaxMissing: q.entry.MaxMissing, Objective: q.objective, Remaining: q.timeLeft(now)})
 }
 
 func (q *query) shardState(n int, now time.Time) scarcity.State {
-	running, waiting, closed := q.state.Attempts(n, now)
+	running, waiting, closed := q.state.ShardState(n, now)
 	switch {
 	case q.state.Covered(n):
 		return scarcity.Covered
@@ -138,7 +138,7 @@
 	case waiting:
 		return scarcity.Waiting
 	}
-	return scarcity.Resting
+	return scarcity.BackingOff
 }
 
 // leaveOut defers a scarce shard until another one is refused, or for leftOutRecheck.
@@ -147,7 +147,7 @@
 		q.leftOut = append(q.leftOut, n)
 	}
 	q.skipReasons[n] = "left out, as its servers are slow and enough other shards can answer"
-	q.state.Later(n, now.Add(leftOutRecheck))
+	q.state.Postpone(n, now.Add(leftOutRecheck))
 }
 
 // useRelay reports whether a server is called through a relay: because this host is not among its
@@ -157,7 +157,7 @@
 		return true
 	}
 	name, domain := q.gateway.name, q.gateway.self.GetDomain()
-	return !c.share.Calls(name, domain) && q.view.Knows(name, domain)
+	return !c.share.Calls(name, domain) && q.view.HasHost(name, domain)
 }
 
 // relayCandidates returns the hosts that may relay a call to a server of a failure domain: those in
@@ -165,18 +165,18 @@
 func (q *query) relayCandidates(domain string, c *call) []control.Host {
 	if q.entry.Query != nil {
 		hosts := q.view.Relays(domain, int(q.gateway.settings.GetRelay().GetHostsPerDomain()))
-		if len(q.entry.Homes) == 0 {
+		if len(q.entry.HomeRegions) == 0 {
 			return hosts
 		}
-		return slices.DeleteFunc(slices.Clone(hosts), func(h control.Host) bool { return !q.entry.Homes.Allow(h.Region) })
+		return slices.DeleteFunc(slices.Clone(hosts), func(h control.Host) bool { return !q.entry.HomeRegions.Allow(h.Region) })
 	}
 	return slices.DeleteFunc(slices.Clone(c.share.Callers()), func(h control.Host) bool {
-		return !h.Whole || !q.entry.Homes.Allow(h.Region)
+		return !h.RelaysWhole || !q.entry.HomeRegions.Allow(h.Region)
 	})
 }
 
 // prepareAttempt takes a slot on a server and, for a retry or hedge, a token of the retry budget.
-func (q *query) prepareAttempt(need fanout.Need, timeLeft time.Duration, now time.Time) (attempt, bool) {
+func (q *query) prepareAttempt(need fanout.DueAttempt, timeLeft time.Duration, now time.Time) (attempt, bool) {
 	kind := firstAttempt
 	if need.Hedge {
 		kind = hedgeAttempt
@@ -184,7 +184,7 @@
 		kind = retryAttempt
 	}
 	g := q.groups[need.Shard]
-	c, err := g.pick(now, pickOptions{tried: q.tried[need.Shard], hedge: need.Hedge, region: q.farRegion, probeEvery: q.probeInterval(), homes: q.entry.Homes, due: replica.Due{Objective: q.objective, Left: timeLeft}})
+	c, err := g.pick(now, pickOptions{tried: q.tried[need.Shard], hedge: need.Hedge, region: q.farRegion, probeEvery: q.probeInterval(), homes: q.entry.HomeRegions, due: replica.TimeBudget{Objective: q.objective, Remaining: timeLeft}})
 	if err != nil {
 		q.deferShard(need, err, now)
 		return attempt{}, false
@@ -193,7 +193,7 @@
 		c.abandon()
 		countDenied(kind)
 		q.trace.denied++
-		q.state.Later(need.Shard, now.Add(deniedRetryDelay))
+		q.state.Postpone(need.Shard, now.Add(deniedRetryDelay))
 		return attempt{}, false
 	}
 	if !q.firstCounted[need.Shard] {
@@ -235,9 +235,9 @@
 func (q *query) probeInterval() time.Duration {
 	interval := singleProbeInterval
 	if q.entry.Query != nil {
-		interval = replica.ProbeEvery
+		interval = replica.ProbeInterval
 	}
-	return interval * time.Duration(max(1, q.view.Count/fullRateProbers))
+	return interval * time.Duration(max(1, q.view.HostCount/fullRateProbers))
 }
 
 func (q *query) traceAttempt(kind attemptKind) {
@@ -252,32 +252,32 @@
 }
 
 // deferShard defers a shard for which no slot was available.
-func (q *query) deferShard(need fanout.Need, err error, now time.Time) {
+func (q *query) deferShard(need fanout.DueAttempt, err error, now time.Time) {
 	q.failure = err.Error()
 	q.skipReasons[need.Shard] = q.failure
-	q.code = CodeNoServer
+	q.cause = CauseNoServer
 	if errors.Is(err, errNoSlot) {
-		q.code = CodeBusy
+		q.cause = CauseBusy
 	}
 	var late *tooLateError
 	var cold *coldError
 	var absent *absentError
 	switch {
 	case errors.As(err, &absent):
-		q.code = CodeAbsent
-		q.state.Later(need.Shard, now.Add(max(absent.wait, slotRetryDelay)))
+		q.cause = CauseAbsent
+		q.state.Postpone(need.Shard, now.Add(max(absent.wait, slotRetryDelay)))
 	case errors.As(err, &cold):
-		q.code = CodeBusy
-		q.state.Later(need.Shard, now.Add(cold.wait))
+		q.cause = CauseBusy
+		q.state.Postpone(need.Shard, now.Add(cold.wait))
 	case errors.As(err, &late):
-		q.code = CodeBusy
+		q.cause = CauseBusy
 		q.scheduleRecheck(need.Shard, late.wait, now)
 	case need.Hedge:
-		q.state.Later(need.Shard, now.Add(deniedRetryDelay))
+		q.state.Postpone(need.Shard, now.Add(deniedRetryDelay))
 	case errors.Is(err, errNoSlot):
-		q.state.Later(need.Shard, now.Add(slotRetryDelay))
+		q.state.Postpone(need.Shard, now.Add(slotRetryDelay))
 	default:
-		q.state.Later(need.Shard, now.Add(deniedRetryDelay))
+		q.state.Postpone(need.Shard, now.Add(deniedRetryDelay))
 	}
 }
 
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -16,7 +16,7 @@
 // budget is divided among all hosts.
 func (q *query) takeBudget(g *group, kind attemptKind, now time.Time) bool {
 	s := q.gateway.settings.GetRetry()
-	hosts := float64(max(q.view.Sharers, 1))
+	hosts := float64(max(q.view.BudgetSharers, 1))
 	part := 1.0
 	// In an overload a hedge would only displace another request.
 	if kind == hedgeAttempt && q.overloaded() {
@@ -26,7 +26,7 @@
 		part = hedgeBudgetShare
 	}
 	if q.entry.Query != nil {
-		part *= q.state.ExtraShare(now)
+		part *= q.state.RetryBudgetShare(now)
 	}
 	slack := q.gateway.startupShare(now) * slackShare * s.GetSlack() / hosts
 	return g.takeExtra(part, budgetShare*s.GetShare(), slack, now)
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -40,7 +40,7 @@
 
 // takeColdToken takes a request from this host's allowance at a cold server.
 func (g *group) takeColdToken(b *backend, now time.Time) error {
-	if wait, ok := b.cold.Take(b.share.Cold.Rate(b.share.ColdCallers()), now); !ok {
+	if wait, ok := b.cold.Take(b.share.ColdBound.Rate(b.share.ColdCallers()), now); !ok {
 		return &coldError{wait: wait}
 	}
 	return nil
@@ -59,5 +59,5 @@
 
 // isCold reports whether a server is cold and its rate limit known.
 func (b *backend) isCold(now time.Time) bool {
-	return now.Before(b.ColdUntil) && b.share.Cold.Known()
+	return now.Before(b.ColdUntil) && b.share.ColdBound.Known()
 }
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -21,7 +21,7 @@
 func coldConfig(perSecond float64) route.Config {
 	c := shardedConfig(1, 4)
 	for i := range c.Services {
-		c.Services[i].ColdPerSecond, c.Services[i].ColdFor = perSecond, 3*time.Second
+		c.Services[i].ColdPerSecond, c.Services[i].ColdDuration = perSecond, 3*time.Second
 	}
 	return c
 }
@@ -31,7 +31,7 @@
 	servers = slices.Clone(servers)
 	for i := range servers {
 		if servers[i].Domain == domain {
-			servers[i].Cold = cold
+			servers[i].ColdDuration = cold
 		}
 	}
 	return servers
@@ -162,10 +162,10 @@
 func TestColdServerIsLimitedAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := newFleet(location{name: "h", domain: "a1", region: "a"}, time.Second)
-	bound := limit.ColdBound{PerSecond: 1, Excess: 1, Slack: 1}
-	shares := func(discovery.Server) control.Share { return control.Share{Conns: 5, Hosts: 1, Cold: bound} }
+	bound := limit.ColdBound{PerSecond: 1, Factor: 1, Slack: 1}
+	shares := func(discovery.Server) control.Share { return control.Share{Conns: 5, CallerCount: 1, ColdBound: bound} }
 	f.update([]discovery.Server{{ID: "i", Service: "s", Domain: "a1", Slots: 2, ColdUntil: now.Add(time.Minute)}}, shares, now)
-	_, err := f.group("s").takeSlot(f.server("i"), replica.Due{Objective: time.Second, Left: time.Second}, now)
+	_, err := f.group("s").takeSlot(f.server("i"), replica.TimeBudget{Objective: time.Second, Remaining: time.Second}, now)
 	var cold *coldError
 	assert.Assert(t, errors.As(err, &cold), "%v", err)
 }
--- a/internal/gateway/contain.go
+++ b/internal/gateway/contain.go
@@ -14,15 +14,15 @@
 
 // PanicError reports a panic while a request or a peer's message was processed.
 type PanicError struct {
-	// Work names the operation that panicked.
-	Work string
+	// Operation names the operation that panicked.
+	Operation string
 	// Value is the value passed to panic.
 	Value any
 }
 
 // Error implements error.
 func (e *PanicError) Error() string {
-	return fmt.Sprintf("%s: panic, a fault of the program: %v (the log has the stack trace)", e.Work, e.Value)
+	return fmt.Sprintf("%s: panic, a fault of the program: %v (the log has the stack trace)", e.Operation, e.Value)
 }
 
 // recoverPanic runs fn for a request or a peer and converts a panic into a *PanicError. Without it
@@ -33,7 +33,7 @@
 			panicsRecovered.Inc()
 			stack := debug.Stack()
 			g.log.Error().Str("request", request).Str("work", work).Interface("fault", value).Bytes("stack", stack[:min(len(stack), maxStackBytes)]).Msg("recovered from a panic: the operation fails, the gateway continues")
-			err = &PanicError{Work: work, Value: value}
+			err = &PanicError{Operation: work, Value: value}
 		}
 	}()
 	return fn()
--- a/internal/gateway/contain_test.go
+++ b/internal/gateway/contain_test.go
@@ -47,22 +47,22 @@
 }
 
 // panickingStore panics when the entry of one server is decoded.
-type panickingStore struct{ *fakestore.Parted }
+type panickingStore struct{ *fakestore.Partitioned }
 
 func (s panickingStore) DecodeServer(id string, value []byte) (discovery.Server, error) {
 	if id == "panics" {
 		panic("injected by the test")
 	}
-	return s.Parted.DecodeServer(id, value)
+	return s.Partitioned.DecodeServer(id, value)
 }
 
 // A server entry whose decoding panics must be ignored.
 func TestEntryWhoseDecodingPanicsIsIgnored(t *testing.T) {
 	file := settingsOf(t, oneHost[0])
 	withCluster(t, shardedConfig(1, 2), serversOf(shardNames(2), "a1"), nil, func(cl *cluster) {
-		cl.startOn(file, panickingStore{&fakestore.Parted{Store: cl.store}})
+		cl.startOn(file, panickingStore{&fakestore.Partitioned{Store: cl.store}})
 		time.Sleep(time.Second)
-		cl.store.PutRaw("panics", []byte("x"))
+		cl.store.PutRawServer("panics", []byte("x"))
 		cl.store.PutConfig(shardedConfig(2, 2))
 		time.Sleep(time.Second)
 		assert.Equal(cl.t, cl.hosts["host1"].control.View().Table.Version(), uint64(2))
--- a/internal/gateway/cut_test.go
+++ b/internal/gateway/cut_test.go
@@ -18,7 +18,7 @@
 	files := []hostSpec{{"host1", "a1", "a"}, {"host2", "b1", "b"}, {"host3", "c1", "c"}}
 	settings := settingsOf(t, files[0])
 	withCluster(t, c, servers, files[1:], func(cl *cluster) {
-		store := &fakestore.Parted{Store: cl.store}
+		store := &fakestore.Partitioned{Store: cl.store}
 		g := cl.startOn(settings, store)
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, cl.ask("host1", "/q/x").Outcome, Gathered)
@@ -36,12 +36,12 @@
 		for range 5 {
 			before, began := cl.leafs.arrivals("shard"), time.Now()
 			a := cl.ask("host1", "/q/x")
-			assert.Assert(t, a.Outcome == NotRun && a.Code == CodeCutOff && a.RetryAfter > 0, "%+v", a)
+			assert.Assert(t, a.Outcome == NotRun && a.Cause == CauseCutOff && a.RetryAfter > 0, "%+v", a)
 			assert.Equal(t, time.Since(began), time.Duration(0))
 			assert.Equal(t, cl.leafs.arrivals("shard"), before)
 			assert.Equal(t, cl.ask("host1", "/one/x").Outcome, Forwarded, "services within reach must be served")
 		}
 		g.control.Health().Answered(cl.hosts["host2"].self.GetAddress())
-		assert.Assert(t, cl.ask("host1", "/q/x").Code != CodeCutOff)
+		assert.Assert(t, cl.ask("host1", "/q/x").Cause != CauseCutOff)
 	})
 }
--- a/internal/gateway/deaths_test.go
+++ b/internal/gateway/deaths_test.go
@@ -130,7 +130,7 @@
 // restart starts a crashed server; its entry follows after registrationDelay. cs.mu must be held.
 func (cs *crashingServers) restart(s discovery.Server) {
 	cs.crashed[s.ID], cs.down[s.ID] = make(chan struct{}), false
-	s.Born = time.Now().UnixMilli()
+	s.StartedAtMillis = time.Now().UnixMilli()
 	time.AfterFunc(registrationDelay, func() { cs.cl.store.PutServer(s) })
 }
 
@@ -238,7 +238,7 @@
 func TestServersThatAreBackAtOnceAreKnownToHaveEnded(t *testing.T) {
 	servers := serversOf(shardNames(12), "a1", "b1", "c1")
 	for i := range servers {
-		servers[i].Born = 1
+		servers[i].StartedAtMillis = 1
 	}
 	withCluster(t, shardedConfig(1, 12), servers, fourHosts, func(cl *cluster) {
 		cs := newCrashingServers(cl, servers)
@@ -265,7 +265,7 @@
 		cl.leafs.setExited("single@a1", true)
 		cl.ask("host1", "/one/end")
 	})
-	want := quarantine.Of(quarantine.Content{Method: "GET", Host: "desk.example", Target: "/one/end"})
+	want := quarantine.FingerprintOf(quarantine.Content{Method: "GET", Host: "desk.example", Target: "/one/end"})
 	const attempts = 2
 	assert.Equal(t, strings.Count(log.String(), `"message":"server ended with a request`), attempts, log.String())
 	assert.Assert(t, strings.Contains(log.String(), `"fingerprint":"`+want.String()+`","server":"single@a1"`), log.String())
@@ -292,7 +292,7 @@
 			if a.Outcome == Gathered || a.Outcome == Forwarded && a.Reply.OK() {
 				served++
 			}
-			if a.Code == CodeBarred {
+			if a.Cause == CauseBarred {
 				barred++
 			}
 		})
@@ -307,7 +307,7 @@
 	const duration = 20 * time.Second
 	servers := slices.Concat(serversOf(shardNames(12), "a1", "b1", "c1"), serversOf([]string{"single"}, "a1", "b1", "c1"))
 	for i := range servers {
-		servers[i].Born = 1
+		servers[i].StartedAtMillis = 1
 	}
 	rng := rand.New(rand.NewPCG(32, 1))
 	faults := map[string]func(cs *crashingServers){
--- a/internal/gateway/edges.go
+++ b/internal/gateway/edges.go
@@ -63,8 +63,8 @@
 
 // NotRunError reports that a server did not run a request.
 type NotRunError struct {
-	// Arrived reports that the server refused the request; otherwise it was not sent.
-	Arrived bool
+	// Refused reports that the server refused the request; otherwise it was not sent.
+	Refused bool
 	// Moved reports that the address now belongs to another server.
 	Moved bool
 	// Absent reports that the request was not sent because nothing listens at the address.
@@ -86,21 +86,21 @@
 // Unwrap returns the cause, if any.
 func (e *NotRunError) Unwrap() error { return e.Err }
 
-// Leafs calls backend servers.
-type Leafs interface {
+// BackendClient calls backend servers.
+type BackendClient interface {
 	// Call sends a request to a server. The error is a *NotRunError if the server cannot have run
 	// the request; after any other error it may have. fresh asks for a connection that has not been
 	// idle for long.
 	Call(ctx context.Context, server discovery.Server, request *Request, timeout time.Duration, fresh bool) (*Reply, error)
-	// Ended reports whether nothing listens at a server's address any more. It returns false if
+	// HasExited reports whether nothing listens at a server's address any more. It returns false if
 	// that cannot be determined within about a round trip.
-	Ended(ctx context.Context, server discovery.Server) bool
-	// Forget closes the idle connections to a server that is gone.
-	Forget(server discovery.Server)
+	HasExited(ctx context.Context, server discovery.Server) bool
+	// CloseIdle closes the idle connections to a server that is gone.
+	CloseIdle(server discovery.Server)
 }
 
-// Peers calls other gateways.
-type Peers interface {
-	control.Peers
+// PeerClient calls other gateways.
+type PeerClient interface {
+	control.PeerClient
 	Gather(ctx context.Context, address string, request *relaypb.GatherRequest, received func(*relaypb.GatherReply)) error
 }
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -62,7 +62,7 @@
 		for _, path := range []string{"/q/x", "/one/x", "/once/x"} {
 			began := time.Now()
 			a := cl.ask("host4", path)
-			assert.Assert(t, a.Outcome == NotRun && a.Code == CodeEvacuated && a.RetryAfter > 0, "%+v", a)
+			assert.Assert(t, a.Outcome == NotRun && a.Cause == CauseEvacuated && a.RetryAfter > 0, "%+v", a)
 			assert.Assert(t, strings.Contains(a.Reason, "evacuated") && time.Since(began) == 0, a.Reason)
 		}
 
@@ -83,7 +83,7 @@
 	withHomedCluster(t, homedConfig(1, "a", "b"), func(cl *cluster) {
 		cl.store.Evacuate("a1", true)
 		time.Sleep(evacuationBound)
-		cl.store.Forget()
+		cl.store.Compact()
 		time.Sleep(2 * time.Second)
 		cl.askAll(2)
 		cl.store.SetDown(true)
@@ -105,7 +105,7 @@
 // A server that restarts under the same identifier must be treated as a new one: observations of
 // the former process are dropped, and a late entry of that process is ignored.
 func TestServerUnderItsOldIdentifierStartsAnew(t *testing.T) {
-	old := discovery.Server{ID: "s@1", Service: "single", Address: "x", Domain: "a1", Slots: 2, Born: 1000}
+	old := discovery.Server{ID: "s@1", Service: "single", Address: "x", Domain: "a1", Slots: 2, StartedAtMillis: 1000}
 	withCluster(t, shardedConfig(1, 1), []discovery.Server{old}, oneHost, func(cl *cluster) {
 		cl.leafs.set("s@1", silent)
 		for range 4 {
@@ -118,11 +118,11 @@
 		assert.Assert(t, before.Slots.InUse() > 0)
 		cl.leafs.set("s@1", nil)
 		restarted := old
-		restarted.Born, restarted.Cold = 2000, time.Second
+		restarted.StartedAtMillis, restarted.ColdDuration = 2000, time.Second
 		cl.store.PutServer(restarted)
 		time.Sleep(time.Second)
 		after := f.server("s@1").leaf
-		assert.Assert(t, after != before && after.Slots.InUse() == 0 && after.Observation(time.Now()).Cuts == 0)
+		assert.Assert(t, after != before && after.Slots.InUse() == 0 && after.Observation(time.Now()).Canceled == 0)
 		cl.store.PutServer(old) // A late entry of the former process.
 		time.Sleep(time.Second)
 		assert.Assert(t, f.server("s@1").leaf == after)
@@ -138,8 +138,8 @@
 func TestUnreadableEntryNamesNoServer(t *testing.T) {
 	servers := serversOf([]string{"single"}, "a1", "b1")
 	withCluster(t, shardedConfig(1, 1), servers, oneHost, func(cl *cluster) {
-		cl.store.PutRaw("single@a1", []byte("\xff\xfe"))
-		cl.store.PutRaw("stranger", []byte("{"))
+		cl.store.PutRawServer("single@a1", []byte("\xff\xfe"))
+		cl.store.PutRawServer("stranger", []byte("{"))
 		time.Sleep(time.Second)
 		for range 5 {
 			assert.Equal(t, cl.ask("host1", "/one/x").Outcome, Forwarded)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -63,7 +63,7 @@
 	// share is this host's share of the server.
 	share control.Share
 	// cold limits the requests that this host sends while the server is cold.
-	cold *limit.Cold
+	cold *limit.ColdLimiter
 	// unreadableLogged reports that unreadable load reports of the server were logged.
 	unreadableLogged *atomic.Bool
 }
@@ -123,7 +123,7 @@
 	if share.Calls(l.name, l.domain) {
 		return share.Conns
 	}
-	return share.Conns * share.Hosts
+	return share.Conns * share.CallerCount
 }
 
 func newFleet(loc location, retrySpan time.Duration) *fleet {
@@ -223,7 +223,7 @@
 }
 
 // processName returns a name for one process of a server.
-func processName(s discovery.Server) string { return fmt.Sprintf("%s#%d", s.ID, s.Born) }
+func processName(s discovery.Server) string { return fmt.Sprintf("%s#%d", s.ID, s.StartedAtMillis) }
 
 // isNewInstance reports whether earlier observations of a server no longer apply: its process was
 // replaced, or the evacuation of its failure domain has ended.
@@ -238,10 +238,10 @@
 	if old != nil {
 		b.leaf, b.cold, b.unreadableLogged = old.leaf, old.cold, old.unreadableLogged
 	} else {
-		b.cold, b.unreadableLogged = &limit.Cold{}, &atomic.Bool{}
-		b.leaf = &replica.Leaf{Address: s.Address, Domain: s.Domain, Slots: limit.NewSlots(loc.slots(share)), Sharers: share.Hosts, Distance: loc.distance(s.Domain), Parallel: max(s.Slots, 1)}
+		b.cold, b.unreadableLogged = &limit.ColdLimiter{}, &atomic.Bool{}
+		b.leaf = &replica.Leaf{Address: s.Address, Domain: s.Domain, Slots: limit.NewSlots(loc.slots(share)), Hosts: share.CallerCount, DistancePenalty: loc.distance(s.Domain), Concurrency: max(s.Slots, 1)}
 		if now.Before(s.ColdUntil) {
-			b.leaf.Slots.Restarted(now)
+			b.leaf.Slots.StartRampUp(now)
 		}
 	}
 	return b
@@ -297,9 +297,9 @@
 		share := shares(b.Server)
 		b.share = share
 		b.leaf.Slots.SetShare(loc.slots(share))
-		b.leaf.Sharers = share.Hosts
-		if share.Cold.Known() {
-			b.cold.SetCaller(share.CallsCold(loc.name, loc.domain), now)
+		b.leaf.Hosts = share.CallerCount
+		if share.ColdBound.Known() {
+			b.cold.SetCaller(share.CallsWhileCold(loc.name, loc.domain), now)
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,11 +21,11 @@
 	"github.com/mallowgap/mallowgap/route"
 )
 
-// Edges are the platform adapters that a gateway uses.
-type Edges struct {
-	Store control.Store
-	Leafs Leafs
-	Peers Peers
+// Adapters are the platform adapters that a gateway uses.
+type Adapters struct {
+	Store    control.Store
+	Backends BackendClient
+	Peers    PeerClient
 	// Suspended returns the total time for which the machine has been suspended since boot. If nil,
 	// it is derived from the system clocks.
 	Suspended func() time.Duration
@@ -35,7 +35,7 @@
 type Gateway struct {
 	name        string
 	settings    *settingspb.Gateway
-	edges       Edges
+	edges       Adapters
 	log         zerolog.Logger
 	self        *relaypb.Host
 	fleet       *fleet
@@ -48,7 +48,7 @@
 	suspensions *suspensions
 	// callerWaits infers, by route, how long callers have already waited.
 	callerWaitsMu sync.Mutex
-	callerWaits   map[string]*admission.Patience
+	callerWaits   map[string]*admission.WaitEstimator
 
 	started  time.Time
 	inFlight atomic.Int64
@@ -57,7 +57,7 @@
 }
 
 // New returns a gateway that serves once Start is called.
-func New(settings *settingspb.Gateway, edges Edges, log zerolog.Logger) *Gateway {
+func New(settings *settingspb.Gateway, edges Adapters, log zerolog.Logger) *Gateway {
 	h := settings.GetHost()
 	loc := location{name: h.GetName(), domain: h.GetFailureDomain(), region: h.GetRegion(), regions: parseRegions(h.GetRegions())}
 	f := newFleet(loc, settings.GetRetry().GetWindow().AsDuration())
@@ -71,14 +71,14 @@
 		latency:     newLatencyTracker(settings.GetQuery().GetHedgeQuantile()),
 		slowReports: newSlowReports(f),
 		suspensions: newSuspensions(),
-		callerWaits: map[string]*admission.Patience{},
+		callerWaits: map[string]*admission.WaitEstimator{},
 		started:     time.Now(),
 	}
 	g.guard = guard.New(h.GetName(), quarantineStore{g}, log)
 	g.control = control.New(control.Config{
 		Self: g.self, Settings: settings.GetStore(), Seeds: splitList(settings.GetStore().GetSeeds()),
 		RelaysPerDomain: int(settings.GetRelay().GetHostsPerDomain()),
-		Cold:            limit.ColdBound{Excess: settings.GetCold().GetExcess(), Slack: settings.GetCold().GetSlack()},
+		ColdBound:       limit.ColdBound{Factor: settings.GetCold().GetExcess(), Slack: settings.GetCold().GetSlack()},
 		Store:           edges.Store, Peers: edges.Peers, Listener: controlListener{g}, Suspended: edges.Suspended, Log: log,
 	})
 	g.peerHealth = g.control.Health()
@@ -89,12 +89,12 @@
 // because Control is created after the guard that uses it.
 type quarantineStore struct{ gateway *Gateway }
 
-// PutRecord implements guard.Keeper.
+// PutRecord implements guard.RecordStore.
 func (s quarantineStore) PutRecord(name string, value []byte) {
 	s.gateway.control.PutRecord(name, value)
 }
 
-// RemoveRecords implements guard.Keeper.
+// RemoveRecords implements guard.RecordStore.
 func (s quarantineStore) RemoveRecords(names []string) { s.gateway.control.RemoveRecords(names) }
 
 // controlListener applies changes of the control state to the request path.
@@ -104,17 +104,19 @@
 func (l controlListener) ServersChanged(servers []discovery.Server, shares func(discovery.Server) control.Share, now time.Time) {
 	restarted, ended := l.gateway.fleet.update(servers, shares, now)
 	for _, s := range ended {
-		l.gateway.guard.ServerEnded(processName(s), s.ID, s.Service, now)
+		l.gateway.guard.ServerCrashed(processName(s), s.ID, s.Service, now)
 	}
 	for _, server := range restarted {
-		l.gateway.requestLog.servers.Info().Str("server", server.ID).Str("service", server.Service).Int64("born", server.Born).Msg("server restarted: earlier observations discarded")
-		go l.gateway.edges.Leafs.Forget(server)
+		l.gateway.requestLog.servers.Info().Str("server", server.ID).Str("service", server.Service).Int64("born", server.StartedAtMillis).Msg("server restarted: earlier observations discarded")
+		go l.gateway.edges.Backends.CloseIdle(server)
 	}
 	l.gateway.fleet.setShares(shares, now)
 }
 
-// ServerGone implements control.Listener.
-func (l controlListener) ServerGone(server discovery.Server) { go l.gateway.edges.Leafs.Forget(server) }
+// ServerExpired implements control.Listener.
+func (l controlListener) ServerExpired(server discovery.Server) {
+	go l.gateway.edges.Backends.CloseIdle(server)
+}
 
 // TableChanged implements control.Listener.
 func (l controlListener) TableChanged(t *route.Table) {
@@ -125,16 +127,16 @@
 
 // QuarantineChanged implements control.Listener.
 func (l controlListener) QuarantineChanged(e control.Entry, now time.Time) {
-	l.gateway.guard.Learn(e, now)
+	l.gateway.guard.ApplyEntry(e, now)
 }
 
-// Slept implements control.Listener. It ages the requests in flight and closes idle connections,
+// Resumed implements control.Listener. It ages the requests in flight and closes idle connections,
 // which may have died silently during the suspension.
-func (l controlListener) Slept(duration time.Duration) {
+func (l controlListener) Resumed(duration time.Duration) {
 	l.gateway.suspensions.add(duration)
 	go func() {
 		for _, server := range l.gateway.fleet.servers() {
-			l.gateway.edges.Leafs.Forget(server)
+			l.gateway.edges.Backends.CloseIdle(server)
 		}
 	}()
 }
@@ -191,8 +193,8 @@
 
 // sweepQuarantine removes expired quarantine records periodically until ctx is done.
 func (g *Gateway) sweepQuarantine(ctx context.Context) {
-	for pause.For(ctx, guard.SweepEvery); ctx.Err() == nil; pause.For(ctx, guard.SweepEvery) {
-		g.guard.Sweep(g.control.ReadsStore(), time.Now())
+	for pause.Sleep(ctx, guard.SweepInterval); ctx.Err() == nil; pause.Sleep(ctx, guard.SweepInterval) {
+		g.guard.Sweep(g.control.ReadsStoreDirectly(), time.Now())
 	}
 }
 
@@ -202,22 +204,22 @@
 // Stopping reports whether a planned stop has begun.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
 
-// Leave begins a planned stop: the host reports itself not ready and withdraws from its peers.
+// BeginStop begins a planned stop: the host reports itself not ready and withdraws from its peers.
 // Requests that still arrive are served.
-func (g *Gateway) Leave(ctx context.Context) {
+func (g *Gateway) BeginStop(ctx context.Context) {
 	g.stopping.Store(true)
-	g.control.Leave(ctx)
+	g.control.BeginStop(ctx)
 }
 
 // InFlight returns the number of requests being served for callers and peers.
 func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-// Drained waits until no request is in flight or ctx is done, and returns the number of requests
+// WaitDrained waits until no request is in flight or ctx is done, and returns the number of requests
 // still in flight.
-func (g *Gateway) Drained(ctx context.Context) int {
+func (g *Gateway) WaitDrained(ctx context.Context) int {
 	const pollEvery = 10 * time.Millisecond
 	for g.InFlight() > 0 && ctx.Err() == nil {
-		pause.For(ctx, pollEvery)
+		pause.Sleep(ctx, pollEvery)
 	}
 	return g.InFlight()
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -134,14 +134,14 @@
 		cl.store.SetDown(false)
 		time.Sleep(time.Second)
 		assert.Equal(t, cl.ask("host1", "/one/x").Outcome, Forwarded, "a server missing after an outage must be used for the grace period")
-		time.Sleep(discovery.ReturnGrace + time.Second)
+		time.Sleep(discovery.ReregistrationGrace + time.Second)
 		assert.Equal(t, cl.ask("host1", "/one/x").Outcome, NotRun)
 	})
 }
 
 func TestCompactedHistoryIsReadAgain(t *testing.T) {
 	withCluster(t, shardedConfig(1, 1), serversOf([]string{"single"}, "a1", "a2"), oneHost, func(cl *cluster) {
-		cl.store.Forget()
+		cl.store.Compact()
 		cl.store.RemoveServer("single@a1")
 		time.Sleep(time.Second)
 		before := cl.leafs.arrivals("single@a1")
@@ -205,11 +205,11 @@
 	withCluster(t, shardedConfig(5, 1), serversOf([]string{"single"}, "a1"), threeRegions, func(cl *cluster) {
 		g := cl.hosts["host1"]
 		assert.Assert(t, g.Ready())
-		g.Leave(cl.ctx)
+		g.BeginStop(cl.ctx)
 		assert.Assert(t, !g.Ready() && g.Stopping())
 		assert.Equal(t, cl.ask("host1", "/one/x").Outcome, Forwarded, "requests that still arrive must be served")
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, cl.hosts["host2"].control.View().Count, 2, "the peers must no longer list the stopping host")
+		assert.Equal(t, cl.hosts["host2"].control.View().HostCount, 2, "the peers must no longer list the stopping host")
 	})
 }
 
@@ -254,9 +254,9 @@
 		"none":    func(*cluster, *Gateway) {},
 		"cut off": func(cl *cluster, leader *Gateway) { cl.peers.cutOff(leader) },
 		"cut from the store": func(cl *cluster, leader *Gateway) {
-			leader.edges.Store.(*fakestore.Parted).Cut.Store(true)
+			leader.edges.Store.(*fakestore.Partitioned).Cut.Store(true)
 		},
-		"leaves": func(cl *cluster, leader *Gateway) { leader.Leave(cl.ctx) },
+		"leaves": func(cl *cluster, leader *Gateway) { leader.BeginStop(cl.ctx) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			withCluster(t, shardedConfig(1, 1), serversOf([]string{"single"}, "a1"), oneRegion, func(cl *cluster) {
@@ -276,14 +276,14 @@
 func TestFollowerOfACutLeaderLearnsAfterACompaction(t *testing.T) {
 	withCluster(t, shardedConfig(1, 1), serversOf([]string{"single"}, "a1"), oneRegion, func(cl *cluster) {
 		for _, name := range []string{"host1", "host2", "host3"} {
-			cl.hosts[name].edges.Store.(*fakestore.Parted).Cut.Store(true)
+			cl.hosts[name].edges.Store.(*fakestore.Partitioned).Cut.Store(true)
 		}
 		follower := cl.hosts["host4"]
-		follower.edges.Store.(*fakestore.Parted).Cut.Store(true)
+		follower.edges.Store.(*fakestore.Partitioned).Cut.Store(true)
 		time.Sleep(3 * time.Second)
 		cl.store.PutConfig(shardedConfig(2, 1))
-		cl.store.Forget()
-		follower.edges.Store.(*fakestore.Parted).Cut.Store(false)
+		cl.store.Compact()
+		follower.edges.Store.(*fakestore.Partitioned).Cut.Store(false)
 		took := waitUntil(cl, 10*time.Second, func() bool {
 			table := follower.control.View().Table
 			return table != nil && table.Version() == 2
@@ -296,7 +296,7 @@
 func waitUntil(cl *cluster, timeout time.Duration, condition func() bool) time.Duration {
 	start := time.Now()
 	for time.Since(start) < timeout && !condition() {
-		pause.For(cl.ctx, 10*time.Millisecond)
+		pause.Sleep(cl.ctx, 10*time.Millisecond)
 	}
 	return time.Since(start)
 }
@@ -321,7 +321,7 @@
 	late := settingsOf(t, hostSpec{"late9", "a1", "a"})
 	withCluster(t, shardedConfig(3, 1), serversOf([]string{"single"}, "a1"), threeRegions, func(cl *cluster) {
 		late.Store.Seeds = cl.hosts["host2"].self.GetAddress()
-		silent := &fakestore.Parted{Store: cl.store}
+		silent := &fakestore.Partitioned{Store: cl.store}
 		silent.Cut.Store(true)
 		g := cl.startOn(late, silent)
 		time.Sleep(500 * time.Millisecond)
@@ -357,7 +357,7 @@
 		start := time.Now()
 		a := cl.ask("host1", "/one/x")
 		assert.Equal(t, a.Outcome, NotRun)
-		assert.Equal(t, a.Code, CodeNoServer)
+		assert.Equal(t, a.Cause, CauseNoServer)
 		assert.Equal(t, time.Since(start), time.Duration(0))
 	})
 }
@@ -402,7 +402,7 @@
 func TestHostsDoNotGoBackToOneThatLostTheStore(t *testing.T) {
 	first := settingsOf(t, hostSpec{"host0", "a1", "a"})
 	withCluster(t, shardedConfig(1, 1), serversOf([]string{"single"}, "a1"), oneRegion, func(cl *cluster) {
-		parted := &fakestore.Parted{Store: cl.store}
+		parted := &fakestore.Partitioned{Store: cl.store}
 		cl.startOn(first, parted)
 		time.Sleep(10 * time.Second)
 		parted.Cut.Store(true)
@@ -462,7 +462,7 @@
 	delay time.Duration
 }
 
-func (s slowStore) Read(ctx context.Context) (control.Reading, error) {
+func (s slowStore) Read(ctx context.Context) (control.Batch, error) {
 	time.Sleep(s.delay)
 	return s.Store.Read(ctx)
 }
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -18,7 +18,7 @@
 func homedConfig(version uint64, homes ...string) route.Config {
 	c := shardedConfig(version, 4)
 	for i := range c.Routes {
-		c.Routes[i].Homes = homes
+		c.Routes[i].HomeRegions = homes
 	}
 	return c
 }
@@ -95,7 +95,7 @@
 					began := time.Now()
 					a := cl.ask("host1", path)
 					assert.Equal(t, a.Outcome, NotRun)
-					assert.Equal(t, a.Code, CodeNoHome)
+					assert.Equal(t, a.Cause, CauseNoHome)
 					assert.Assert(t, a.RetryAfter > 0 && strings.Contains(a.Reason, homes[0]), a.Reason)
 					assert.Equal(t, time.Since(began), time.Duration(0))
 				}
@@ -116,7 +116,7 @@
 		assert.Equal(t, a.Gathered.Missing, 2)
 		cl.store.RemoveServer("shard1@b1")
 		time.Sleep(time.Second)
-		assert.Equal(t, cl.ask("host1", "/q/x").Code, CodeNoHome)
+		assert.Equal(t, cl.ask("host1", "/q/x").Cause, CauseNoHome)
 		assert.Equal(t, cl.leafs.arrivals("shard2")+cl.leafs.arrivals("shard3"), 0)
 	})
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -14,7 +14,7 @@
 var serversAbsent = metrics.GetOrCreateCounter("mallowgap_servers_absent_total")
 
 func countAnswer(route string, a Answer) {
-	metrics.GetOrCreateCounter(fmt.Sprintf("mallowgap_requests_total{route=%q,outcome=%q,cause=%q}", route, a.Outcome, a.Code)).Inc()
+	metrics.GetOrCreateCounter(fmt.Sprintf("mallowgap_requests_total{route=%q,outcome=%q,cause=%q}", route, a.Outcome, a.Cause)).Inc()
 }
 
 // pruneRouteMetrics removes the metrics of routes that are no longer known, so that their number
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -52,7 +52,7 @@
 	load, n := s.adjustLoad(1)
 	if n > 2+shardQueueLength {
 		s.adjustLoad(-1)
-		return nil, &NotRunError{Arrived: true, Reason: "full", Load: load}
+		return nil, &NotRunError{Refused: true, Reason: "full", Load: load}
 	}
 	defer s.adjustLoad(-1)
 	select {
@@ -172,7 +172,7 @@
 		for range 600 {
 			r := cl.newRequest("/low/x")
 			go func() {
-				if a := cl.hosts["host1"].Serve(ctx, r); a.Code == CodeOverloaded {
+				if a := cl.hosts["host1"].Serve(ctx, r); a.Cause == CauseOverloaded {
 					mu.Lock()
 					defer mu.Unlock()
 					refused[r.ID] = true
@@ -216,11 +216,11 @@
 	const shards = 140
 	f := newFleet(location{domain: "a1", region: "a"}, 10*time.Second)
 	now := time.Now()
-	f.update(serversOf(shardNames(shards), "a1", "a2"), func(discovery.Server) control.Share { return control.Share{Conns: 3, Hosts: 3} }, now)
+	f.update(serversOf(shardNames(shards), "a1", "a2"), func(discovery.Server) control.Share { return control.Share{Conns: 3, CallerCount: 3} }, now)
 	q := &query{state: fanout.New(fanout.Settings{Shards: shards, MinShare: 0.9})}
 	for _, name := range shardNames(shards) {
 		g := f.group(name)
-		g.set.Queued(0, 3, shardServiceTime, now)
+		g.set.ReportQueue(0, 3, shardServiceTime, now)
 		q.groups = append(q.groups, g)
 	}
 	b.ReportAllocs()
@@ -253,7 +253,7 @@
 	withCluster(t, shardedConfig(1, 1), serversOf([]string{"shard0"}, "a1"), oneHost, func(cl *cluster) {
 		f := cl.hosts["host1"].fleet
 		b, g := f.server("shard0@a1"), f.group("shard0")
-		due := replica.Due{Objective: 100 * time.Millisecond, Left: 50 * time.Millisecond}
+		due := replica.TimeBudget{Objective: 100 * time.Millisecond, Remaining: 50 * time.Millisecond}
 		first, err := g.takeSlot(b, due, time.Now())
 		assert.NilError(t, err)
 		first.end(callEnd{result: callServed, elapsed: shardServiceTime, atServer: shardServiceTime, load: Load{Known: true}}, time.Now())
--- a/internal/gateway/pick.go
+++ b/internal/gateway/pick.go
@@ -38,9 +38,9 @@
 	// probeEvery is the interval at which an avoided server gets a request of this kind.
 	probeEvery time.Duration
 	// due is when the part is needed.
-	due replica.Due
+	due replica.TimeBudget
 	// homes are the regions whose servers may see the request.
-	homes route.Homes
+	homes route.HomeRegions
 }
 
 // pick takes a slot on the best server at now.
@@ -53,7 +53,7 @@
 	}
 	absent := g.set.AbsentMask(now)
 	if !g.set.Reachable(forbidden | absent) {
-		return nil, &absentError{wait: g.set.NextLook(forbidden, now)}
+		return nil, &absentError{wait: g.set.NextRetry(forbidden, now)}
 	}
 	exclude := forbidden | absent | g.maskOf(opts.tried)
 	if !g.set.Reachable(exclude) {
@@ -70,7 +70,7 @@
 	if i == replica.None {
 		return nil, errNoSlot
 	}
-	if wait, late := g.set.TooLate(i, opts.due, now); late {
+	if wait, late := g.set.WouldBeLate(i, opts.due, now); late {
 		return nil, &tooLateError{wait: wait}
 	}
 	if !g.set.Acquire(i, now) {
@@ -97,14 +97,14 @@
 
 // soonest estimates, for the server that would finish a request first, when that would be and how
 // long the request would run; 0 is unknown.
-func (g *group) soonest(homes route.Homes, now time.Time) (expected, run time.Duration) {
+func (g *group) soonest(homes route.HomeRegions, now time.Time) (expected, run time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.set.Soonest(g.outsideHomes(homes), now)
+	return g.set.EarliestCompletion(g.outsideHomes(homes), now)
 }
 
 // takeSlot takes a slot on the given server.
-func (g *group) takeSlot(b *backend, due replica.Due, now time.Time) (*call, error) {
+func (g *group) takeSlot(b *backend, due replica.TimeBudget, now time.Time) (*call, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	i := g.indexOf(b.leaf)
@@ -113,9 +113,9 @@
 	}
 	b = g.members[i]
 	if g.set.AbsentMask(now)&(1<<i) != 0 {
-		return nil, &absentError{wait: g.set.NextLook(^uint64(1<<i), now)}
+		return nil, &absentError{wait: g.set.NextRetry(^uint64(1<<i), now)}
 	}
-	if wait, late := g.set.TooLate(i, due, now); late {
+	if wait, late := g.set.WouldBeLate(i, due, now); late {
 		return nil, &tooLateError{wait: wait}
 	}
 	if !b.leaf.Slots.Free(now) {
@@ -137,7 +137,7 @@
 		return replica.None
 	}
 	for i, b := range g.members {
-		if b.leaf.Distance < farDistance {
+		if b.leaf.DistancePenalty < farDistance {
 			return replica.None
 		}
 		if b.region != region {
@@ -179,7 +179,7 @@
 }
 
 // outsideHomes returns the set of servers that may not see a request with the given homes.
-func (g *group) outsideHomes(homes route.Homes) uint64 {
+func (g *group) outsideHomes(homes route.HomeRegions) uint64 {
 	var mask uint64
 	for i, b := range g.members {
 		if !homes.Allow(b.region) {
@@ -191,7 +191,7 @@
 
 // eligibleCount returns the number of servers in service that may see a request with the given
 // homes.
-func (g *group) eligibleCount(homes route.Homes) int {
+func (g *group) eligibleCount(homes route.HomeRegions) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.members) - bits.OnesCount64(g.outsideHomes(homes))
@@ -199,7 +199,7 @@
 
 // hasUntried reports whether there is a server that may see the request, was not tried and is not
 // absent.
-func (g *group) hasUntried(tried []string, homes route.Homes, now time.Time) bool {
+func (g *group) hasUntried(tried []string, homes route.HomeRegions, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.set.Reachable(g.outsideHomes(homes) | g.maskOf(tried) | g.set.AbsentMask(now))
@@ -242,13 +242,13 @@
 	}
 	wasAbsent := g.set.IsAbsent(i)
 	if e.load.Slowness > 0 {
-		g.set.Slowed(i, e.load.Slowness, now)
+		g.set.ReportSlowdown(i, e.load.Slowness, now)
 	}
 	if e.load.Known {
-		change.runTime = g.set.Queued(i, e.load.Waiting, e.atServer, now)
+		change.runTime = g.set.ReportQueue(i, e.load.Waiting, e.atServer, now)
 	}
 	if e.absent {
-		g.set.Absent(i, now)
+		g.set.MarkAbsent(i, now)
 	}
 	switch e.result {
 	case callServed:
@@ -256,7 +256,7 @@
 	case callRefused:
 		g.set.Refused(i, now)
 	case callCanceled:
-		g.set.CutShort(i, e.elapsed, now)
+		g.set.Canceled(i, e.elapsed, now)
 	case callFailed:
 		change.ejected = g.set.Failed(i, now)
 	}
@@ -308,12 +308,12 @@
 func (g *group) countFirst(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.retryWindow.First(1, now)
+	g.retryWindow.AddFirstAttempts(1, now)
 }
 
 // takeExtra takes an extra attempt from the given part (0 to 1) of the retry budget of the service.
 func (g *group) takeExtra(part, share, slack float64, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.retryWindow.TakePart(part, share, slack, now)
+	return g.retryWindow.TakeFraction(part, share, slack, now)
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -40,7 +40,7 @@
 	cl.t.Helper()
 	for i := range 12 {
 		a := cl.ask(hosts[i%len(hosts)], path)
-		if a.Outcome == NotRun && a.Code == CodeBarred {
+		if a.Outcome == NotRun && a.Cause == CauseBarred {
 			return
 		}
 		time.Sleep(time.Second / 2)
@@ -63,7 +63,7 @@
 	began := time.Now()
 	a := cl.ask(host, path)
 	assert.Equal(cl.t, a.Outcome, NotRun, "%s at %s: %+v", path, host, a)
-	assert.Equal(cl.t, a.Code, CodeBarred)
+	assert.Equal(cl.t, a.Cause, CauseBarred)
 	assert.Equal(cl.t, a.RetryAfter, barredRetryAfter)
 	assert.Equal(cl.t, time.Since(began), time.Duration(0))
 }
@@ -116,7 +116,7 @@
 	servers := serversOf([]string{"shard0", "shard1"}, "a1", "b1")
 	withCluster(t, shardedConfig(1, 2), servers, fourHosts[:3], func(cl *cluster) {
 		cs := newCrashingServers(cl, servers)
-		store := &fakestore.Parted{Store: cl.store}
+		store := &fakestore.Partitioned{Store: cl.store}
 		g := cl.startOn(file, store)
 		time.Sleep(time.Second)
 		store.Cut.Store(true)
@@ -209,10 +209,10 @@
 		f := fingerprint(cl.newRequest("/q/poison"))
 		relay := cl.hosts["host2"]
 		relay.guard = guard.New("host2", discardRecords{}, zerolog.Nop())
-		relay.guard.Note(f, quarantine.Record{Servers: []string{"a", "b", "c"}, Ended: 3, Trials: []string{"b", "c"}}, time.Now())
+		relay.guard.AddLocal(f, quarantine.Record{Servers: []string{"a", "b", "c"}, Crashes: 3, Trials: []string{"b", "c"}}, time.Now())
 		a := cl.ask("host1", "/q/poison")
 		assert.Equal(cl.t, a.Outcome, NotRun, "%+v", a)
-		assert.Equal(cl.t, a.Code, CodeBarred)
+		assert.Equal(cl.t, a.Cause, CauseBarred)
 		assert.Equal(cl.t, cl.leafs.arrivals("shard"), 0)
 		assert.Equal(cl.t, cl.ask("host1", "/q/other").Outcome, Gathered)
 	})
@@ -242,7 +242,7 @@
 		f := fingerprint(cl.newRequest("/q/poison"))
 		value, err := proto.Marshal(&relaypb.QuarantineRecord{Servers: []string{"a", "b", "c"}, Ended: 3, TrialServers: []string{"b", "c"}})
 		assert.NilError(cl.t, err)
-		cl.store.Apply(control.Entry{Kind: relaypb.EntryKind_QUARANTINE, Name: quarantine.RecordName(f, "host7"), Value: value})
+		cl.store.Apply(control.Entry{Kind: relaypb.EntryKind_QUARANTINE, Name: quarantine.RecordKeyFor(f, "host7"), Value: value})
 		a := <-answers
 		assert.Equal(cl.t, a.Outcome, Failed, "servers may have run it: %+v", a)
 		synctest.Wait()
@@ -256,7 +256,7 @@
 func TestOperatorClearsABarredRequest(t *testing.T) {
 	withBarredRequest(t, "/q/poison", func(cl *cluster, cs *crashingServers) {
 		cl.store.Apply(control.Entry{Kind: relaypb.EntryKind_QUARANTINE, Name: "odd", Value: []byte{1}})
-		cl.store.Apply(control.Entry{Kind: relaypb.EntryKind_QUARANTINE, Name: quarantine.RecordName(quarantine.Fingerprint{}, "h"), Value: []byte{0xff}})
+		cl.store.Apply(control.Entry{Kind: relaypb.EntryKind_QUARANTINE, Name: quarantine.RecordKeyFor(quarantine.Fingerprint{}, "h"), Value: []byte{0xff}})
 		cl.assertBarred("host2", "/q/poison")
 		time.Sleep(4 * time.Second)
 		cs.fix()
@@ -280,7 +280,7 @@
 				r := cl.newRequest(path)
 				r.Timeout = timeout
 				g := cl.hosts["host1"]
-				g.guard.Note(fingerprint(r), quarantine.Record{Servers: []string{"a"}, Ended: 1}, time.Now())
+				g.guard.AddLocal(fingerprint(r), quarantine.Record{Servers: []string{"a"}, Crashes: 1}, time.Now())
 				a := g.Serve(cl.ctx, r)
 				assert.Assert(cl.t, a.Outcome == Gathered || a.Outcome == Forwarded, "%+v", a)
 			})
--- a/internal/gateway/query.go
+++ b/internal/gateway/query.go
@@ -79,7 +79,7 @@
 	barChanged <-chan struct{}
 	// choice decides which scarce shards are asked; leftOut lists the shards that are currently not
 	// asked.
-	choice  *scarcity.Choice
+	choice  *scarcity.AskOrder
 	leftOut []int
 	// tried holds, by shard, the identifiers of the servers that were sent the request.
 	tried [][]string
@@ -101,7 +101,7 @@
 	absence absenceCheck
 	// failure is the reason of the last failed attempt and code its cause.
 	failure string
-	code    Code
+	cause   Cause
 }
 
 // event holds what one call, direct or relayed, brought.
@@ -154,16 +154,16 @@
 			return q.absentAnswer(now)
 		}
 		if q.trialsExhausted() {
-			return Answer{Outcome: Failed, Code: CodeServerFailed, Reason: "connections broke repeatedly when the request was tried on single servers, after other servers had exited while running it"}
+			return Answer{Outcome: Failed, Cause: CauseServerFailed, Reason: "connections broke repeatedly when the request was tried on single servers, after other servers had exited while running it"}
 		}
 		if q.state.Finished(now) || q.onlyLeftOutRemain() {
 			return q.answer(now)
 		}
 		if !q.dispatched() && !now.Before(q.dispatchBy) {
-			return notRun(q.code, q.failure, q.retryAfter())
+			return notRun(q.cause, q.failure, q.retryAfter())
 		}
 		if callerLeft := q.awaitEvent(ctx, now); callerLeft {
-			return Answer{Outcome: CallerLeft, Code: CodeCallerLeft, Reason: "the caller closed its connection"}
+			return Answer{Outcome: CallerLeft, Cause: CauseCallerLeft, Reason: "the caller closed its connection"}
 		}
 		if callCtx.Err() != nil {
 			callCtx = q.newCallContext(ctx)
@@ -174,7 +174,7 @@
 // onlyLeftOutRemain reports whether enough shards are covered and all others were left out, so that
 // there is nothing to wait for.
 func (q *query) onlyLeftOutRemain() bool {
-	return len(q.leftOut) > 0 && q.state.Enough() && !q.running() && len(q.leftOut) == len(q.state.MissingShards())
+	return len(q.leftOut) > 0 && q.state.HasMinShare() && !q.running() && len(q.leftOut) == len(q.state.MissingShards())
 }
 
 // newCallContext returns the context for the calls made from now on. It is independent of ctx, so
@@ -210,7 +210,7 @@
 // awaitEvent waits for an event or the time of the next decision, and reports whether the caller
 // has left.
 func (q *query) awaitEvent(ctx context.Context, now time.Time) bool {
-	next := q.state.Next(now)
+	next := q.state.NextWakeup(now)
 	if !q.dispatched() && q.dispatchBy.Before(next) {
 		next = q.dispatchBy
 	}
@@ -221,7 +221,7 @@
 		q.handleEvent(e)
 		q.drainEvents()
 	case <-q.barChanged:
-		q.barChanged = q.gateway.guard.News()
+		q.barChanged = q.gateway.guard.BarredSignal()
 		q.checkBarred()
 	case <-q.resumed:
 		q.applySuspension()
@@ -282,18 +282,18 @@
 		q.trial.barred = true
 	}
 	if r.outcome == relaypb.Outcome_NOT_SENT {
-		q.code = CodeUnreachable
+		q.cause = CauseUnreachable
 		q.state.NotSent(r.shard)
 	} else {
-		q.code = CodeRefused
+		q.cause = CauseRefused
 		q.state.Refused(r.shard)
 		q.refusals++
 	}
-	if !q.groups[r.shard].hasUntried(q.tried[r.shard], q.entry.Homes, now) {
+	if !q.groups[r.shard].hasUntried(q.tried[r.shard], q.entry.HomeRegions, now) {
 		q.scheduleRecheck(r.shard, r.wait, now)
 	}
 	for _, n := range q.leftOut {
-		q.state.Later(n, now) // Another scarce shard may replace this one.
+		q.state.Postpone(n, now) // Another scarce shard may replace this one.
 	}
 	q.leftOut = nil
 	if q.refusals >= maxRefusalsPerShard*len(q.groups) {
@@ -305,7 +305,7 @@
 // next step.
 func (q *query) scheduleRecheck(n int, wait time.Duration, now time.Time) {
 	if wait == 0 {
-		q.state.Later(n, now.Add(refusalRetryDelay))
+		q.state.Postpone(n, now.Add(refusalRetryDelay))
 		return
 	}
 	step := recheckStep
@@ -313,13 +313,13 @@
 		step = lateRecheckStep
 	}
 	steps := now.Add(wait).Sub(q.request.Arrived)/step + 1
-	q.state.Later(n, q.request.Arrived.Add(steps*step))
+	q.state.Postpone(n, q.request.Arrived.Add(steps*step))
 }
 
 func (q *query) handleFailure(r result) {
 	q.trace.note("shard %d: %s failed after %v: %s", r.shard, r.server, r.elapsed, r.reason)
 	q.failure = r.reason
-	q.code = CodeServerFailed
+	q.cause = CauseServerFailed
 	q.mayHaveRun = true
 	switch {
 	case r.serverEnded:
@@ -348,22 +348,22 @@
 
 // answer returns the answer of a query that is finished.
 func (q *query) answer(now time.Time) Answer {
-	if q.state.Enough() {
+	if q.state.HasMinShare() {
 		return q.success()
 	}
 	if q.entry.Query == nil && q.reply != nil {
-		return Answer{Outcome: Forwarded, Reply: q.reply, Code: CodeServerFailed, Reason: "the server failed"}
+		return Answer{Outcome: Forwarded, Reply: q.reply, Cause: CauseServerFailed, Reason: "the server failed"}
 	}
 	if !q.mayHaveRun && !q.running() && q.state.CoveredCount() == 0 {
-		return notRun(q.code, q.failure, q.retryAfter())
+		return notRun(q.cause, q.failure, q.retryAfter())
 	}
 	if q.running() {
-		q.code, q.failure = CodeSlow, "servers did not answer in time"
+		q.cause, q.failure = CauseSlow, "servers did not answer in time"
 	}
 	if !now.Before(q.end) {
-		return Answer{Outcome: TimedOut, Code: q.code, Reason: q.failure}
+		return Answer{Outcome: TimedOut, Cause: q.cause, Reason: q.failure}
 	}
-	return Answer{Outcome: Failed, Code: q.code, Reason: q.failure}
+	return Answer{Outcome: Failed, Cause: q.cause, Reason: q.failure}
 }
 
 func (q *query) success() Answer {
@@ -372,9 +372,9 @@
 	}
 	a := Answer{Outcome: Gathered, Gathered: q.state.Answer()}
 	if a.Gathered.Missing > 0 {
-		a.Code, a.Reason = q.code, q.failure
+		a.Cause, a.Reason = q.cause, q.failure
 		if q.running() {
-			a.Code, a.Reason = CodeSlow, "servers did not answer in time"
+			a.Cause, a.Reason = CauseSlow, "servers did not answer in time"
 		}
 	}
 	return a
--- a/internal/gateway/reach.go
+++ b/internal/gateway/reach.go
@@ -9,20 +9,20 @@
 
 // noServersAnswer refuses a request for which too few servers are in service.
 func (q *query) noServersAnswer() Answer {
-	if len(q.entry.Homes) > 0 {
-		return notRun(CodeNoHome, fmt.Sprintf("no server in service in the home regions of the route (%v)", q.entry.Homes), q.retryAfter())
+	if len(q.entry.HomeRegions) > 0 {
+		return notRun(CauseNoHome, fmt.Sprintf("no server in service in the home regions of the route (%v)", q.entry.HomeRegions), q.retryAfter())
 	}
 	for _, g := range q.groups {
 		if g.isEvacuated() && g.eligibleCount(nil) == 0 {
-			return notRun(CodeEvacuated, "the failure domains of all servers of "+g.service+" are evacuated", q.retryAfter())
+			return notRun(CauseEvacuated, "the failure domains of all servers of "+g.service+" are evacuated", q.retryAfter())
 		}
 	}
-	return notRun(CodeNoServer, errNoServer.Error(), q.retryAfter())
+	return notRun(CauseNoServer, errNoServer.Error(), q.retryAfter())
 }
 
 // enoughServers reports whether enough shards for an answer have a server that may see the request.
 func (q *query) enoughServers() bool {
-	return q.enoughShards(func(g *group) bool { return g.eligibleCount(q.entry.Homes) > 0 })
+	return q.enoughShards(func(g *group) bool { return g.eligibleCount(q.entry.HomeRegions) > 0 })
 }
 
 // enoughShards reports whether a condition holds for as many shards as an answer needs.
@@ -33,7 +33,7 @@
 			n++
 		}
 	}
-	return n >= q.state.Needed()
+	return n >= q.state.MinShards()
 }
 
 // isCutOff reports whether this host is cut off and its own failure domain lacks servers that an
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -139,7 +139,7 @@
 	if !r.serverEnded {
 		return false
 	}
-	stop, _ := s.Ended(quarantine.End{Server: r.server}, now)
+	stop, _ := s.Crashed(quarantine.Crash{Server: r.server}, now)
 	return stop
 }
 
@@ -219,18 +219,18 @@
 
 // dueFromRequest returns when a peer needs the parts. Peers of the previous version do not say; for
 // them no call is too late.
-func dueFromRequest(m *relaypb.GatherRequest) replica.Due {
+func dueFromRequest(m *relaypb.GatherRequest) replica.TimeBudget {
 	if m.GetDueUs() == 0 {
-		return replica.Due{Objective: time.Hour, Left: time.Hour}
+		return replica.TimeBudget{Objective: time.Hour, Remaining: time.Hour}
 	}
-	return replica.Due{
+	return replica.TimeBudget{
 		Objective: time.Duration(m.GetObjectiveUs()) * time.Microsecond,
-		Left:      time.Duration(m.GetDueUs()-1) * time.Microsecond,
+		Remaining: time.Duration(m.GetDueUs()-1) * time.Microsecond,
 	}
 }
 
 // callForPeer calls one server for a peer.
-func (g *Gateway) callForPeer(ctx context.Context, id string, r *Request, timeout time.Duration, due replica.Due, freshConn bool) result {
+func (g *Gateway) callForPeer(ctx context.Context, id string, r *Request, timeout time.Duration, due replica.TimeBudget, freshConn bool) result {
 	b, servers := g.findServer(id)
 	if b == nil {
 		return result{outcome: relaypb.Outcome_NOT_SENT, reason: "the relay does not know the server"}
@@ -257,11 +257,11 @@
 // takeSlotWithRetry takes a slot on a server, retrying a few times if none is free. It polls
 // instead of queueing, because a request that is committed to one server early completes later than
 // one sent to the first server that becomes free.
-func (g *group) takeSlotWithRetry(ctx context.Context, b *backend, due replica.Due) (*call, error) {
+func (g *group) takeSlotWithRetry(ctx context.Context, b *backend, due replica.TimeBudget) (*call, error) {
 	c, err := g.takeSlot(b, due, time.Now())
 	for retries := 0; errors.Is(err, errNoSlot) && retries < maxSlotRetries; retries++ {
-		pause.For(ctx, slotRetryDelay)
-		due.Left -= slotRetryDelay
+		pause.Sleep(ctx, slotRetryDelay)
+		due.Remaining -= slotRetryDelay
 		c, err = g.takeSlot(b, due, time.Now())
 	}
 	return c, err
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -66,7 +66,7 @@
 // addSlow adds the slow servers of one set of shards, whose servers are comparable.
 func (r *slowReports) addSlow(shards []string, slowSince map[string]time.Time, now time.Time) {
 	ids, observed := r.fleet.observations(shards, now)
-	for _, s := range replica.Slow(observed, now) {
+	for _, s := range replica.SlowReplicas(observed, now) {
 		id := ids[s.Index]
 		from, ok := r.slowSince[id]
 		if !ok {
@@ -136,7 +136,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	i := g.indexOf(b.leaf)
-	return i != replica.None && g.set.Reported(i, latency, now)
+	return i != replica.None && g.set.ApplyReport(i, latency, now)
 }
 
 // markHealthy records that the servers of a failure domain are healthy, except the slow ones.
@@ -145,7 +145,7 @@
 	defer g.mu.Unlock()
 	for i, b := range g.members {
 		if b.Domain == domain && !slow[b.ID] {
-			g.set.Reported(i, 0, now)
+			g.set.ApplyReport(i, 0, now)
 		}
 	}
 }
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -23,7 +23,7 @@
 const serverLinesPerSecond = 10
 
 func newRequestLog(log zerolog.Logger, perSecond int) *requestLog {
-	return &requestLog{good: obs.Bounded(log, perSecond), bad: obs.Bounded(log, perSecond), servers: obs.Bounded(log, serverLinesPerSecond)}
+	return &requestLog{good: obs.RateLimited(log, perSecond), bad: obs.RateLimited(log, perSecond), servers: obs.RateLimited(log, serverLinesPerSecond)}
 }
 
 // maxNotes limits the notes in the log line of one request.
@@ -94,7 +94,7 @@
 		e = e.Dur("store_lost", time.Since(v.StoreLost))
 	}
 	if a.Reason != "" {
-		e = e.Str("cause", string(a.Code)).Str("reason", a.Reason)
+		e = e.Str("cause", string(a.Cause)).Str("reason", a.Reason)
 	}
 	if a.Reply != nil {
 		e = e.Int("status", a.Reply.Status)
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -112,7 +112,7 @@
 		time.Sleep(3 * time.Second)
 		ctx, cancel := context.WithCancel(cl.ctx)
 		defer cancel()
-		cl.hosts["host1"].edges.Store.(*fakestore.Parted).Cut.Store(true)
+		cl.hosts["host1"].edges.Store.(*fakestore.Partitioned).Cut.Store(true)
 		cl.peers.cutOff(cl.hosts["host1"])
 		drained := discovery.Server{ID: servers[0].ID, Service: "single", Address: servers[0].Address, Domain: "a1", Slots: 2, Draining: true}
 		cl.store.PutServer(drained)
@@ -218,7 +218,7 @@
 		lines, _, err := explain.Read(strings.NewReader(log.String()))
 		assert.NilError(t, err)
 		var explanation strings.Builder
-		assert.NilError(t, explain.Of(lines, fmt.Sprint("r", cl.nextID.Load())).Write(&explanation))
+		assert.NilError(t, explain.HistoryOf(lines, fmt.Sprint("r", cl.nextID.Load())).Write(&explanation))
 		assert.Assert(t, strings.Contains(explanation.String(), "servers are slow, as a peer near them reports"), explanation.String())
 	})
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -47,7 +47,7 @@
 func (g *Gateway) callOnce(ctx context.Context, c *call, r *Request, timeout time.Duration, freshConn bool) result {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := g.edges.Leafs.Call(callCtx, c.backend.Server, r, timeout, freshConn)
+	reply, err := g.edges.Backends.Call(callCtx, c.backend.Server, r, timeout, freshConn)
 	now := time.Now()
 	elapsed := now.Sub(c.started)
 	out := result{server: c.backend.ID, elapsed: elapsed}
@@ -57,7 +57,7 @@
 		// A lost connection alone does not prove that the server exited: it may have closed an idle
 		// connection, the reply may be lost or the network cut. A server that exited refuses the
 		// next connection.
-		out.serverEnded = g.edges.Leafs.Ended(ctx, c.backend.Server)
+		out.serverEnded = g.edges.Backends.HasExited(ctx, c.backend.Server)
 		out.connectionLost = !out.serverEnded && !timedOut(err)
 	}
 	change := c.end(callEnd{result: evidence, elapsed: elapsed, atServer: serverTime(out, elapsed), load: out.load, absent: out.absent || out.serverEnded}, now)
@@ -68,7 +68,7 @@
 	}
 	if evidence == callMoved {
 		g.requestLog.servers.Info().Str("server", c.backend.ID).Str("service", c.backend.Service).Msg("address now belongs to another server: no more requests are sent")
-		g.edges.Leafs.Forget(c.backend.Server)
+		g.edges.Backends.CloseIdle(c.backend.Server)
 	}
 	return out
 }
@@ -151,7 +151,7 @@
 
 func classifyNotRun(out *result, refused *NotRunError, canceled bool) callResult {
 	out.load = refused.Load
-	if refused.Arrived {
+	if refused.Refused {
 		out.outcome = relaypb.Outcome_NOT_RUN
 		if refused.Moved {
 			return callMoved
@@ -200,7 +200,7 @@
 		}
 		m.Trial = m.Trial || a.onTrial || q.trial.probation
 	}
-	setServerIDs(m, ids, relay.Packs)
+	setServerIDs(m, ids, relay.SupportsPacking)
 	return m
 }
 
@@ -224,7 +224,7 @@
 func (g *Gateway) callRelay(ctx context.Context, request *relaypb.GatherRequest, rc *relayCall) {
 	relay := rc.relay
 	rc.done = make([]bool, len(rc.attempts))
-	g.peerHealth.Started(relay.Address)
+	g.peerHealth.CallStarted(relay.Address)
 	silenceTimer := time.AfterFunc(rc.silenceTimeout(request), func() { g.control.Suspect(relay.Address, time.Now()) })
 	err := g.recoverPanic("reply of a relay", request.GetRequestId(), func() error {
 		return g.edges.Peers.Gather(ctx, relay.Address, request, func(reply *relaypb.GatherReply) {
@@ -239,7 +239,7 @@
 		g.control.Suspect(relay.Address, now)
 		g.log.Debug().Err(err).Str("peer", relay.Name).Msg("call of a relay failed")
 	}
-	g.peerHealth.Ended(relay.Address)
+	g.peerHealth.CallEnded(relay.Address)
 	rc.failPending(err, ctx.Err() != nil, now)
 }
 
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -34,7 +34,7 @@
 	name, objective := "", time.Duration(0)
 	entry, answer := matchRoute(v, r)
 	if entry != nil {
-		name, objective, t.rank = entry.Name, entry.Goal(), entry.Rank()
+		name, objective, t.rank = entry.Name, entry.EffectiveObjective(), entry.Rank()
 		answer = g.serveRoute(ctx, v, entry, r, t)
 	}
 	elapsed := time.Since(r.Arrived)
@@ -47,18 +47,18 @@
 // awaitView returns the view in force. On a host that has just started or resumed from a
 // suspension, it waits up to startupWait for the state to be known or confirmed.
 func (g *Gateway) awaitView(ctx context.Context) *control.View {
-	if v := g.control.View(); v.Known && !v.Doubted {
+	if v := g.control.View(); v.Initialized && !v.Unconfirmed {
 		return v
 	}
 	timer := time.NewTimer(startupWait)
 	defer timer.Stop()
 	for {
 		v := g.control.View()
-		changed := g.control.Known()
-		if v.Known {
-			changed = v.Outdated
+		changed := g.control.Initialized()
+		if v.Initialized {
+			changed = v.Superseded
 		}
-		if v.Known && !v.Doubted {
+		if v.Initialized && !v.Unconfirmed {
 			return v
 		}
 		select {
@@ -82,21 +82,21 @@
 // matchRoute returns the route of a request, or nil and the answer that rejects the request.
 func matchRoute(v *control.View, r *Request) (*route.Entry, Answer) {
 	if v.Table == nil {
-		return nil, notRun(CodeNoConfig, "no configuration is known yet", minRetryAfter)
+		return nil, notRun(CauseNoConfig, "no configuration is known yet", minRetryAfter)
 	}
 	if r.ID == "" {
-		return nil, Answer{Outcome: Malformed, Code: CodeNoID, Reason: "the request has no identifier"}
+		return nil, Answer{Outcome: Malformed, Cause: CauseNoID, Reason: "the request has no identifier"}
 	}
 	limits := v.Table.Limits()
 	if limits.HeaderBytes > 0 && r.HeaderBytes > limits.HeaderBytes {
-		return nil, Answer{Outcome: HeaderTooLarge, Code: CodeHeaderSize, Reason: "the header is larger than the configuration allows"}
+		return nil, Answer{Outcome: HeaderTooLarge, Cause: CauseHeaderSize, Reason: "the header is larger than the configuration allows"}
 	}
 	if limits.BodyBytes > 0 && len(r.Body) > limits.BodyBytes {
-		return nil, Answer{Outcome: TooLarge, Code: CodeBodySize, Reason: "the body is larger than the configuration allows"}
+		return nil, Answer{Outcome: TooLarge, Cause: CauseBodySize, Reason: "the body is larger than the configuration allows"}
 	}
 	entry := v.Table.Match(r.Host, r.Path)
 	if entry == nil {
-		return nil, Answer{Outcome: NoRoute, Code: CodeNoRoute, Reason: "no route of the configuration in force matches the host name and path"}
+		return nil, Answer{Outcome: NoRoute, Cause: CauseNoRoute, Reason: "no route of the configuration in force matches the host name and path"}
 	}
 	return entry, Answer{}
 }
@@ -105,7 +105,7 @@
 func (g *Gateway) serveRoute(ctx context.Context, v *control.View, entry *route.Entry, r *Request, t *trace) Answer {
 	q := g.newQuery(v, entry, r, t)
 	if !time.Now().Before(q.end) {
-		return notRun(CodeNoTime, "the caller's timeout has expired", minRetryAfter)
+		return notRun(CauseNoTime, "the caller's timeout has expired", minRetryAfter)
 	}
 	if refused, ok := q.checkQuarantine(ctx); !ok {
 		return refused
@@ -114,7 +114,7 @@
 		return q.noServersAnswer()
 	}
 	if q.isCutOff() {
-		return notRun(CodeCutOff, "this host reaches neither the store nor a host of another failure domain, and its own failure domain lacks servers", q.retryAfter())
+		return notRun(CauseCutOff, "this host reaches neither the store nor a host of another failure domain, and its own failure domain lacks servers", q.retryAfter())
 	}
 	if q.lacksServers(time.Now()) {
 		return q.absentAnswer(time.Now())
@@ -132,13 +132,13 @@
 	if r.Timeout > 0 {
 		timeout = min(timeout, r.Timeout)
 	}
-	objective := entry.Goal()
+	objective := entry.EffectiveObjective()
 	q := &query{
 		gateway: g, view: v, entry: entry, request: r, trace: t, objective: objective,
 		end:        r.Arrived.Add(timeout - endMargin),
 		dispatchBy: r.Arrived.Add(time.Duration(dispatchShare * float64(objective))),
 	}
-	settings := fanout.Settings{Shards: 1, MinShare: 1, MaxAttempts: entry.MaxAttempts, AnswerAt: q.end, End: q.end}
+	settings := fanout.Settings{Shards: 1, MinShare: 1, MaxAttempts: entry.MaxAttempts, AnswerAt: q.end, Deadline: q.end}
 	if entry.Query == nil {
 		q.groups = []*group{g.fleet.group(entry.Choose())}
 	} else {
@@ -149,8 +149,8 @@
 		settings.Top = entry.Query.Top
 		settings.MinShare = entry.Query.MinShare
 		settings.AnswerAt = g.answerAt(r, objective)
-		q.choice = scarcity.NewChoice(settings.Shards, newRNG())
-		q.farRegion = v.AnyFarRegion()
+		q.choice = scarcity.NewAskOrder(settings.Shards, newRNG())
+		q.farRegion = v.RandomRemoteRegion()
 	}
 	if !entry.Idempotent {
 		settings.MaxAttempts = 1
@@ -160,7 +160,7 @@
 	if entry.Query == nil {
 		q.due = q.end
 	}
-	q.barChanged = g.guard.News()
+	q.barChanged = g.guard.BarredSignal()
 	q.suspendedFor, q.resumed = g.suspensions.current()
 	q.skipReasons = map[int]string{}
 	q.tried = make([][]string, settings.Shards)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -29,8 +29,8 @@
 	closeTimeout = 300 * time.Millisecond
 )
 
-// ErrCut is returned by Run if a planned stop aborted requests that were in flight.
-var ErrCut = errors.New("requests were cut off: raise drain_timeout in [shutdown]")
+// ErrRequestsAborted is returned by Run if a planned stop aborted requests that were in flight.
+var ErrRequestsAborted = errors.New("requests were cut off: raise drain_timeout in [shutdown]")
 
 // Handlers are the HTTP handlers and the periodic task of the platform adapter.
 type Handlers struct {
@@ -47,7 +47,7 @@
 	idle                    *idleConns
 }
 
-// Run serves until stop is closed and then performs a planned stop. It returns ErrCut if that
+// Run serves until stop is closed and then performs a planned stop. It returns ErrRequestsAborted if that
 // aborted requests in flight.
 func (g *Gateway) Run(stop <-chan struct{}, h Handlers) error {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -64,8 +64,8 @@
 	g.log.Info().Str("domain", g.self.GetDomain()).Str("callers", g.settings.GetListen().GetCallers()).Msg("gateway started")
 	<-stop
 	g.log.Info().Int("in_flight", g.InFlight()).Msg("planned stop begins")
-	g.Leave(ctx)
-	pause.For(ctx, g.settings.GetShutdown().GetBalancerLag().AsDuration())
+	g.BeginStop(ctx)
+	pause.Sleep(ctx, g.settings.GetShutdown().GetBalancerLag().AsDuration())
 	return g.shutDown(s)
 }
 
@@ -77,14 +77,14 @@
 	if err := s.callers.Shutdown(ctx); err != nil {
 		g.log.Warn().Err(err).Msg("connections of callers are still in use after drain_timeout")
 	}
-	cut := g.Drained(ctx)
+	cut := g.WaitDrained(ctx)
 	closeCtx, cancelClose := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancelClose()
 	_ = s.ready.Shutdown(closeCtx)
 	g.Close()
 	g.log.Info().Int("cut", cut).Msg("planned stop ended")
 	if cut > 0 {
-		return fmt.Errorf("%w (%d)", ErrCut, cut)
+		return fmt.Errorf("%w (%d)", ErrRequestsAborted, cut)
 	}
 	return nil
 }
@@ -137,7 +137,7 @@
 // sweepIdle closes connections that have been idle for too long until ctx is done.
 func (g *Gateway) sweepIdle(ctx context.Context, s *endpoints, sweepEdges func(now time.Time)) {
 	for ctx.Err() == nil {
-		pause.For(ctx, idleSweepInterval)
+		pause.Sleep(ctx, idleSweepInterval)
 		now := time.Now()
 		sweepEdges(now)
 		if table := g.control.View().Table; table != nil && table.Limits().IdleTimeout > 0 {
--- a/internal/gateway/sleep.go
+++ b/internal/gateway/sleep.go
@@ -39,6 +39,6 @@
 	q.suspendedFor, q.resumed = q.gateway.suspensions.current()
 	added := q.suspendedFor - before
 	q.end, q.due, q.dispatchBy = q.end.Add(-added), q.due.Add(-added), q.dispatchBy.Add(-added)
-	q.state.Slept(added)
+	q.state.AddSuspension(added)
 	q.trace.note("the machine was suspended for %v", added)
 }
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -20,7 +20,7 @@
 
 // suspendDuring suspends a host with its own connection to the store while event runs. Connections
 // that were open stay silent afterwards; new ones work.
-func (cl *cluster) suspendDuring(g *Gateway, store *fakestore.Parted, d time.Duration, event func()) {
+func (cl *cluster) suspendDuring(g *Gateway, store *fakestore.Partitioned, d time.Duration, event func()) {
 	setCut := func(cut bool) {
 		store.Cut.Store(cut)
 		for _, h := range cl.hosts {
@@ -42,7 +42,7 @@
 			last := hosts[len(hosts)-1]
 			file := settingsOf(t, last)
 			withCluster(t, shardedConfig(1, 2), serversOf([]string{"shard0", "shard1", "single"}, "a1"), hosts[:len(hosts)-1], func(cl *cluster) {
-				store := &fakestore.Parted{Store: cl.store}
+				store := &fakestore.Partitioned{Store: cl.store}
 				g := cl.startOn(file, store)
 				time.Sleep(2 * time.Second)
 				assert.Assert(cl.t, g.Ready())
