--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -43,7 +43,7 @@
 	servers []string
 	// brokenCalls lists lost connections whose servers are not known to have exited; failedTrials
 	// counts those on trial.
-	brokenCalls  []quarantine.End
+	brokenCalls  []quarantine.Crash
 	failedTrials int
 	// heldShards lists the shards whose attempts wait until a server has served the query.
 	heldShards []int
@@ -71,7 +71,7 @@
 		return Answer{}, true
 	case quarantine.Suspect:
 		q.trace.fingerprint = f.String()
-		q.awaitVerdict(guard.VerdictBy(f))
+		q.awaitVerdict(guard.TrialDeadline(f))
 		return Answer{}, true
 	}
 	name, due := guard.DueTrial(f, serverVersions(q.groups), time.Now())
@@ -93,10 +93,10 @@
 		q.trial.Suspect(time.Time{})
 		return
 	}
-	by = quarantine.AwaitVerdict(by, q.request.Arrived, q.end)
+	by = quarantine.TrialWaitDeadline(by, q.request.Arrived, q.end)
 	q.trial.Suspect(by)
 	if by.After(q.dispatchBy) {
-		q.code, q.failure = CodeSuspect, "servers ended under this request, and its trial by another query is not decided yet"
+		q.cause, q.failure = CauseSuspect, "servers ended under this request, and its trial by another query is not decided yet"
 		q.dispatchBy = by.Add(q.maxHedgeDelay())
 	}
 }
@@ -105,21 +105,21 @@
 // same request while this query waited.
 func (q *query) clearedElsewhere() bool {
 	if q.trial.shard < 0 && !q.trial.probation && !q.dispatched() && q.gateway.guard.Standing(q.fingerprint()) == quarantine.Clear {
-		q.trial.Absolve()
+		q.trial.Clear()
 	}
 	return !q.trial.OnTrial()
 }
 
 // barredAnswer refuses a barred request, or fails it if a server may have run it.
 func (q *query) barredAnswer() Answer {
-	known := q.gateway.guard.Refused(q.fingerprint())
+	known := q.gateway.guard.CountRefusal(q.fingerprint())
 	q.trace.fingerprint = known.Fingerprint.String()
 	reason := fmt.Sprintf("%d servers ended under this request (fingerprint %v, seen by %v): fix the servers, then run mallowgap quarantine clear",
-		known.Ended, known.Fingerprint, known.Hosts)
+		known.Crashes, known.Fingerprint, known.Hosts)
 	if q.dispatched() {
-		return Answer{Outcome: Failed, Code: CodeBarred, Reason: reason}
+		return Answer{Outcome: Failed, Cause: CauseBarred, Reason: reason}
 	}
-	return notRun(CodeBarred, reason, barredRetryAfter)
+	return notRun(CauseBarred, reason, barredRetryAfter)
 }
 
 // launchTrial sends the query to one server alone, unless a trial is running. A late trial is
@@ -130,11 +130,11 @@
 	t := &q.trial
 	t.heldShards = t.heldShards[:0]
 	running := q.running()
-	needs := q.state.Needs(now)
+	needs := q.state.DueAttempts(now)
 	rand.Shuffle(len(needs), func(i, j int) { needs[i], needs[j] = needs[j], needs[i] })
 	for _, need := range needs {
 		trialHedge := need.Hedge && need.Shard == t.shard
-		if running && !trialHedge || !running && need.Hedge || now.Before(t.TrialFrom()) {
+		if running && !trialHedge || !running && need.Hedge || now.Before(t.NextTrial()) {
 			q.holdShard(need.Shard, now.Add(trialPollInterval))
 			continue
 		}
@@ -162,7 +162,7 @@
 // resumeHeldShards makes the held shards eligible at once.
 func (q *query) resumeHeldShards(now time.Time) {
 	for _, n := range q.trial.heldShards {
-		q.state.Later(n, now)
+		q.state.Postpone(n, now)
 	}
 	q.trial.heldShards = nil
 }
@@ -171,22 +171,22 @@
 func (q *query) noteServerEnded(r result, now time.Time) {
 	q.trace.fingerprint = q.fingerprint().String()
 	end := q.endRecord(r)
-	q.gateway.guard.LogEnd(q.fingerprint(), q.request.ID, r.server, q.groups[r.shard].service, r.elapsed, r.reason, end)
-	stop, trialEnded := q.trial.Ended(end, now)
+	q.gateway.guard.LogCrash(q.fingerprint(), q.request.ID, r.server, q.groups[r.shard].service, r.elapsed, r.reason, end)
+	stop, trialEnded := q.trial.Crashed(end, now)
 	if stop {
 		q.stopCalls()
 		q.reportEnds(now) // A repeat at another host may arrive before the trial ends.
 	}
 	if trialEnded {
-		q.trial.Wait(rand.N(quarantine.TrialSpread))
+		q.trial.DelayTrial(rand.N(quarantine.MaxTrialJitter))
 		q.reportEnds(now)
 	}
 }
 
 // endRecord returns the quarantine entry for a server that exited or lost its connection while
 // running the query.
-func (q *query) endRecord(r result) quarantine.End {
-	end := quarantine.End{Server: r.server, OnTrial: slices.Contains(q.trial.servers, r.server)}
+func (q *query) endRecord(r result) quarantine.Crash {
+	end := quarantine.Crash{Server: r.server, OnTrial: slices.Contains(q.trial.servers, r.server)}
 	if b := q.gateway.fleet.server(r.server); b != nil {
 		end.Server, end.Version = processName(b.Server), b.Version
 	}
@@ -196,7 +196,7 @@
 // noteConnectionLost records a lost connection to a server that is not known to have exited.
 func (q *query) noteConnectionLost(r result) {
 	end := q.endRecord(r)
-	if len(q.trial.brokenCalls) < quarantine.MaxNamed || end.OnTrial {
+	if len(q.trial.brokenCalls) < quarantine.MaxListed || end.OnTrial {
 		q.trial.brokenCalls = append(q.trial.brokenCalls, end)
 	}
 	if end.OnTrial {
@@ -217,19 +217,19 @@
 		return
 	}
 	for _, end := range q.trial.brokenCalls {
-		q.gateway.guard.Broke(quarantine.BrokenCall{Fingerprint: q.fingerprint(), End: end, What: describe(q.request, q.entry.Name), At: now})
+		q.gateway.guard.AddBrokenCall(quarantine.BrokenCall{Fingerprint: q.fingerprint(), Crash: end, Description: describe(q.request, q.entry.Name), At: now})
 	}
 }
 
 // reportEnds tells all hosts about the servers that exited while running the query since it was
 // last served.
 func (q *query) reportEnds(now time.Time) {
-	record, ok := q.trial.Tell()
+	record, ok := q.trial.TakeReport()
 	if !ok {
 		return
 	}
-	record.What = describe(q.request, q.entry.Name)
-	q.trial.barred = q.gateway.guard.Note(q.fingerprint(), record, now) == quarantine.Barred
+	record.Description = describe(q.request, q.entry.Name)
+	q.trial.barred = q.gateway.guard.AddLocal(q.fingerprint(), record, now) == quarantine.Barred
 }
 
 // checkBarred updates whether the request is barred by this host or another.
@@ -242,12 +242,12 @@
 // describe returns a description of a request for operators.
 func describe(r *Request, routeName string) string {
 	description := r.Method + " " + r.Host + r.Target + " (route " + routeName + ")"
-	return description[:min(len(description), quarantine.MaxWhat)]
+	return description[:min(len(description), quarantine.MaxDescription)]
 }
 
 // fingerprint returns the fingerprint of the content and caller of a request.
 func fingerprint(r *Request) quarantine.Fingerprint {
-	return quarantine.Of(quarantine.Content{Method: r.Method, Host: r.Host, Target: r.Target, Caller: r.Header.Get("Authorization"), Body: r.Body})
+	return quarantine.FingerprintOf(quarantine.Content{Method: r.Method, Host: r.Host, Target: r.Target, Caller: r.Header.Get("Authorization"), Body: r.Body})
 }
 
 // serverVersions returns the software versions of the servers in service in the given groups.
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -92,13 +92,13 @@
 
 // start starts a gateway with its own connection to the cluster's store.
 func (cl *cluster) start(file *settingspb.Gateway) *Gateway {
-	return cl.startOn(file, &fakestore.Parted{Store: cl.store})
+	return cl.startOn(file, &fakestore.Partitioned{Store: cl.store})
 }
 
 // startOn starts a gateway on the given store.
 func (cl *cluster) startOn(file *settingspb.Gateway, store control.Store) *Gateway {
 	name := file.GetHost().GetName()
-	g := New(file, Edges{Store: store, Leafs: cl.leafs, Peers: cl.peers, Suspended: func() time.Duration { return cl.suspended(name) }}, cl.log)
+	g := New(file, Adapters{Store: store, Backends: cl.leafs, Peers: cl.peers, Suspended: func() time.Duration { return cl.suspended(name) }}, cl.log)
 	cl.peers.add(file.GetListen().GetPeers(), g)
 	cl.hosts[file.GetHost().GetName()] = g
 	g.Start(cl.ctx)
@@ -210,10 +210,10 @@
 	return serve(s.ID, leafServiceTime)(ctx, r)
 }
 
-func (f *fakeLeafs) Forget(discovery.Server) {}
+func (f *fakeLeafs) CloseIdle(discovery.Server) {}
 
-// Ended implements Leafs. It reports what setExited has set.
-func (f *fakeLeafs) Ended(_ context.Context, s discovery.Server) bool {
+// HasExited implements Leafs. It reports what setExited has set.
+func (f *fakeLeafs) HasExited(_ context.Context, s discovery.Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.exited[s.ID]
@@ -260,7 +260,7 @@
 
 // shed refuses a request at once, as an overloaded server does.
 func shed(context.Context, *Request) (*Reply, error) {
-	return nil, &NotRunError{Arrived: true, Reason: "full"}
+	return nil, &NotRunError{Refused: true, Reason: "full"}
 }
 
 // unreachable fails to connect.
@@ -337,7 +337,7 @@
 	return g.Gather(m, &fakeStream{ctx: ctx, send: received})
 }
 
-func (p *fakePeers) Forget(string) {}
+func (p *fakePeers) CloseIdle(string) {}
 
 func (p *fakePeers) State(ctx context.Context, address string, m *relaypb.StateRequest) (*relaypb.StateReply, error) {
 	g, cut := p.find(address)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -21,8 +21,8 @@
 	// limit is separate because an outage that a poison request causes exhausts the common one
 	// with failed calls.
 	logLinesPerSecond = 20
-	// SweepEvery is the interval at which expired records should be removed.
-	SweepEvery = 10 * time.Second
+	// SweepInterval is the interval at which expired records should be removed.
+	SweepInterval = 10 * time.Second
 )
 
 var (
@@ -31,8 +31,8 @@
 	quarantineCleared = metrics.GetOrCreateCounter("mallowgap_quarantine_cleared_total")
 )
 
-// Keeper writes and removes quarantine records in the store, for all hosts.
-type Keeper interface {
+// RecordStore writes and removes quarantine records in the store, for all hosts.
+type RecordStore interface {
 	PutRecord(name string, value []byte)
 	RemoveRecords(names []string)
 }
@@ -41,23 +41,23 @@
 type Guard struct {
 	host  string
 	log   zerolog.Logger
-	store Keeper
+	store RecordStore
 	// known is the number of requests in the book, readable without mu.
 	known atomic.Int64
 
 	mu   sync.Mutex
 	book *quarantine.Book
 	// brokenCalls are calls whose connection broke and whose servers may have crashed.
-	brokenCalls *quarantine.Witnesses
+	brokenCalls *quarantine.BrokenCalls
 	// barredSignal is closed and replaced when a request becomes barred.
 	barredSignal chan struct{}
 }
 
 // New returns a guard with an empty book for a host.
-func New(host string, store Keeper, log zerolog.Logger) *Guard {
+func New(host string, store RecordStore, log zerolog.Logger) *Guard {
 	return &Guard{
-		host: host, store: store, log: obs.Bounded(log, logLinesPerSecond),
-		book: quarantine.NewBook(host), brokenCalls: quarantine.NewWitnesses(), barredSignal: make(chan struct{}),
+		host: host, store: store, log: obs.RateLimited(log, logLinesPerSecond),
+		book: quarantine.NewBook(host), brokenCalls: quarantine.NewBrokenCalls(), barredSignal: make(chan struct{}),
 	}
 }
 
@@ -71,23 +71,23 @@
 	return g.book.Standing(f)
 }
 
-// VerdictBy returns the time until which another query may have a suspect on trial.
-func (g *Guard) VerdictBy(f quarantine.Fingerprint) time.Time {
+// TrialDeadline returns the time until which another query may have a suspect on trial.
+func (g *Guard) TrialDeadline(f quarantine.Fingerprint) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.VerdictBy(f)
+	return g.book.TrialDeadline(f)
 }
 
-// Refused counts a refusal of a barred request, and returns the summary of the request.
-func (g *Guard) Refused(f quarantine.Fingerprint) quarantine.Summary {
+// CountRefusal counts a refusal of a barred request, and returns the summary of the request.
+func (g *Guard) CountRefusal(f quarantine.Fingerprint) quarantine.Summary {
 	quarantineRefused.Inc()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.Summary(f)
 }
 
-// News returns a channel that is closed when the next request becomes barred.
-func (g *Guard) News() <-chan struct{} {
+// BarredSignal returns a channel that is closed when the next request becomes barred.
+func (g *Guard) BarredSignal() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.barredSignal
@@ -106,7 +106,7 @@
 // must hold g.mu.
 func (g *Guard) publishChanges(source string) {
 	g.known.Store(int64(g.book.Len()))
-	for _, c := range g.book.Changes() {
+	for _, c := range g.book.TakeChanges() {
 		if c.Now.Standing == quarantine.Barred {
 			close(g.barredSignal)
 			g.barredSignal = make(chan struct{})
@@ -119,9 +119,9 @@
 func (g *Guard) logChange(c quarantine.Change, source string) {
 	s := c.Now
 	e := g.log.Warn().Stringer("fingerprint", s.Fingerprint).Stringer("standing", s.Standing).Stringer("before", c.Before).Str("told_by", source).
-		Int("servers_ended", s.Ended).Strs("servers", s.Servers).Strs("seen_by", s.Hosts).Str("what", s.What)
-	if len(s.ExplainedBy) > 0 {
-		e = e.Stringers("explained_by", stringers(s.ExplainedBy))
+		Int("servers_ended", s.Crashes).Strs("servers", s.Servers).Strs("seen_by", s.Hosts).Str("what", s.Description)
+	if len(s.AttributedTo) > 0 {
+		e = e.Stringers("explained_by", stringers(s.AttributedTo))
 	}
 	e.Msg("standing of a request under which servers ended has changed")
 }
@@ -135,9 +135,9 @@
 	return all
 }
 
-// Note adds what this host observed of a request to its record, writes the record to the store, and
+// AddLocal adds what this host observed of a request to its record, writes the record to the store, and
 // returns the standing of the request.
-func (g *Guard) Note(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) quarantine.Standing {
+func (g *Guard) AddLocal(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) quarantine.Standing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.noteLocked(f, seen, now)
@@ -146,26 +146,26 @@
 
 // noteLocked implements Note. The caller must hold g.mu.
 func (g *Guard) noteLocked(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) {
-	record := g.book.Note(f, seen, now)
+	record := g.book.AddLocal(f, seen, now)
 	g.publishChanges(g.host)
 	g.storeRecord(f, record)
 }
 
-// Broke records that the connection of a call broke, in a query that no server served. The registry
+// AddBrokenCall records that the connection of a call broke, in a query that no server served. The registry
 // entry of the server may show later that it crashed.
-func (g *Guard) Broke(c quarantine.BrokenCall) {
+func (g *Guard) AddBrokenCall(c quarantine.BrokenCall) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.brokenCalls.Broke(c)
+	g.brokenCalls.Add(c)
 }
 
-// ServerEnded records that the process of a server ended without draining. The recent broken calls
+// ServerCrashed records that the process of a server ended without draining. The recent broken calls
 // to it are counted as crashes.
-func (g *Guard) ServerEnded(process, server, service string, now time.Time) {
+func (g *Guard) ServerCrashed(process, server, service string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, c := range g.brokenCalls.Ended(process, now) {
-		g.LogEnd(c.Fingerprint, "", server, service, now.Sub(c.At), "the connection broke, and the registry entry shows that the server ended", c.End)
+	for _, c := range g.brokenCalls.Take(process, now) {
+		g.LogCrash(c.Fingerprint, "", server, service, now.Sub(c.At), "the connection broke, and the registry entry shows that the server ended", c.Crash)
 		g.noteLocked(c.Fingerprint, c.Record(), now)
 	}
 }
@@ -192,14 +192,14 @@
 		g.log.Error().Err(err).Stringer("fingerprint", f).Msg("quarantine record cannot be encoded: other hosts do not receive it")
 		return
 	}
-	g.store.PutRecord(quarantine.RecordName(f, g.host), value)
+	g.store.PutRecord(quarantine.RecordKeyFor(f, g.host), value)
 }
 
-// Learn applies an entry of the store. An invalid one is logged and ignored.
-func (g *Guard) Learn(e control.Entry, now time.Time) {
+// ApplyEntryTo applies an entry of the store. An invalid one is logged and ignored.
+func (g *Guard) ApplyEntry(e control.Entry, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	name, err := LearnRecord(g.book, e, now)
+	name, err := ApplyEntryTo(g.book, e, now)
 	if err != nil {
 		g.log.Warn().Err(err).Str("entry", e.Name).Msg("quarantine entry is invalid and ignored")
 		return
@@ -207,23 +207,23 @@
 	g.publishChanges(name.Host)
 }
 
-// LearnRecord applies an entry of the store to a book, and returns the parsed name of the entry.
-func LearnRecord(book *quarantine.Book, e control.Entry, now time.Time) (quarantine.Name, error) {
-	name, err := quarantine.ParseName(e.Name)
+// ApplyEntryTo applies an entry of the store to a book, and returns the parsed name of the entry.
+func ApplyEntryTo(book *quarantine.Book, e control.Entry, now time.Time) (quarantine.RecordKey, error) {
+	name, err := quarantine.ParseRecordKey(e.Name)
 	if err != nil {
 		return name, err
 	}
 	switch {
 	case e.Removed:
-		book.Forget(name, now)
+		book.RemoveRecord(name, now)
 	case name.Claim != "":
-		book.LearnClaim(name, now)
+		book.ApplyClaim(name, now)
 	default:
 		var record relaypb.QuarantineRecord
 		if err := proto.Unmarshal(e.Value, &record); err != nil {
 			return name, fmt.Errorf("decode quarantine record %s: %w", e.Name, err)
 		}
-		book.Learn(name.Fingerprint, name.Host, decodeRecord(&record), now)
+		book.ApplyRecord(name.Fingerprint, name.Host, decodeRecord(&record), now)
 	}
 	return name, nil
 }
@@ -233,7 +233,7 @@
 func (g *Guard) Sweep(readsStore bool, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	names := g.book.Expired(now)
+	names := g.book.RemoveExpired(now)
 	g.publishChanges("time")
 	if len(names) == 0 {
 		return
@@ -245,18 +245,18 @@
 }
 
 func encodeRecord(r quarantine.Record) *relaypb.QuarantineRecord {
-	return &relaypb.QuarantineRecord{Servers: r.Servers, Ended: uint32(r.Ended), TrialServers: r.Trials, Versions: r.Versions, What: r.What, At: r.At, Served: r.Served}
+	return &relaypb.QuarantineRecord{Servers: r.Servers, Ended: uint32(r.Crashes), TrialServers: r.Trials, Versions: r.Versions, What: r.Description, At: r.LastCrash, Served: r.Served}
 }
 
 func decodeRecord(m *relaypb.QuarantineRecord) quarantine.Record {
 	return quarantine.Record{
-		Servers: m.GetServers(), Ended: int(m.GetEnded()), Trials: m.GetTrialServers(),
-		Versions: m.GetVersions(), What: m.GetWhat(), At: m.GetAt(), Served: m.GetServed(),
+		Servers: m.GetServers(), Crashes: int(m.GetEnded()), Trials: m.GetTrialServers(),
+		Versions: m.GetVersions(), Description: m.GetWhat(), LastCrash: m.GetAt(), Served: m.GetServed(),
 	}
 }
 
-// LogEnd logs and counts the crash of a server while it ran a request.
-func (g *Guard) LogEnd(f quarantine.Fingerprint, request, server, service string, elapsed time.Duration, reason string, end quarantine.End) {
+// LogCrash logs and counts the crash of a server while it ran a request.
+func (g *Guard) LogCrash(f quarantine.Fingerprint, request, server, service string, elapsed time.Duration, reason string, end quarantine.Crash) {
 	serversEnded.Inc()
 	g.log.Warn().Str("request", request).Stringer("fingerprint", f).Str("server", server).Str("service", service).Str("version", end.Version).
 		Dur("elapsed", elapsed).Str("reason", reason).Bool("trial", end.OnTrial).Msg("server ended with a request: nothing listens at its address")
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -26,14 +26,14 @@
 func TestBarAfterServedGraceIsPublished(t *testing.T) {
 	var log bytes.Buffer
 	g := New("h1", discardStore{}, zerolog.New(&log))
-	f, start := quarantine.Of(quarantine.Content{Target: "/x"}), time.Unix(1_000_000, 0)
-	seen := quarantine.Record{Servers: []string{"a", "b", "c"}, Ended: 3, Trials: []string{"b", "c"}}
-	g.Note(f, quarantine.Record{Servers: []string{"a"}, Ended: 1}, start)
+	f, start := quarantine.FingerprintOf(quarantine.Content{Target: "/x"}), time.Unix(1_000_000, 0)
+	seen := quarantine.Record{Servers: []string{"a", "b", "c"}, Crashes: 3, Trials: []string{"b", "c"}}
+	g.AddLocal(f, quarantine.Record{Servers: []string{"a"}, Crashes: 1}, start)
 	g.Clear(f, start)
-	g.Note(f, seen, start)
+	g.AddLocal(f, seen, start)
 	assert.Equal(t, g.Standing(f), quarantine.Suspect)
 
-	signal := g.News()
+	signal := g.BarredSignal()
 	signalled := func() bool {
 		select {
 		case <-signal:
@@ -43,14 +43,14 @@
 		}
 	}
 	log.Reset()
-	g.Sweep(false, start.Add(SweepEvery))
+	g.Sweep(false, start.Add(SweepInterval))
 	assert.Equal(t, signalled(), false)
 	assert.Equal(t, log.String(), "")
 
 	g.Sweep(false, start.Add(time.Minute))
 	assert.Equal(t, g.Standing(f), quarantine.Barred)
 	assert.Equal(t, signalled(), true)
-	g.Sweep(false, start.Add(time.Minute+SweepEvery))
+	g.Sweep(false, start.Add(time.Minute+SweepInterval))
 	assert.Equal(t, strings.Count(log.String(), "standing of a request"), 1, log.String())
 }
 
@@ -59,35 +59,35 @@
 func TestBarFollowingRemovalOfAnotherIsPublished(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	later := start.Add(24*time.Hour - time.Second)
-	poison, popular := quarantine.Of(quarantine.Content{Target: "/poison"}), quarantine.Of(quarantine.Content{Target: "/popular"})
+	poison, popular := quarantine.FingerprintOf(quarantine.Content{Target: "/poison"}), quarantine.FingerprintOf(quarantine.Content{Target: "/popular"})
 	trials := []string{"b", "c"}
 	bar := func(g *Guard, i int) {
 		one, two, three := fmt.Sprint(i, "a"), fmt.Sprint(i, "b"), fmt.Sprint(i, "c")
-		f := quarantine.Of(quarantine.Content{Target: fmt.Sprint(i)})
-		g.Note(f, quarantine.Record{Servers: []string{one, two, three}, Ended: 3, Trials: []string{two, three}}, later)
+		f := quarantine.FingerprintOf(quarantine.Content{Target: fmt.Sprint(i)})
+		g.AddLocal(f, quarantine.Record{Servers: []string{one, two, three}, Crashes: 3, Trials: []string{two, three}}, later)
 	}
 	removals := map[string]func(g *Guard){
 		"served": func(g *Guard) { g.Clear(poison, later) },
 		"cleared by operator": func(g *Guard) {
-			g.Learn(control.Entry{Name: quarantine.RecordName(poison, "h1"), Removed: true}, later)
+			g.ApplyEntry(control.Entry{Name: quarantine.RecordKeyFor(poison, "h1"), Removed: true}, later)
 		},
 		"expired": func(g *Guard) { g.Sweep(false, start.Add(24*time.Hour)) },
-		"evicted": func(g *Guard) { bar(g, quarantine.MaxCases) },
+		"evicted": func(g *Guard) { bar(g, quarantine.MaxRequests) },
 	}
 	for name, remove := range removals {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var log bytes.Buffer
 				g := New("h1", discardStore{}, zerolog.New(&log))
-				g.Note(poison, quarantine.Record{Servers: []string{"a", "b", "c", "d"}, Ended: 4, Trials: trials}, start)
-				g.Note(popular, quarantine.Record{Servers: []string{"a", "b", "c"}, Ended: 3, Trials: trials}, later)
+				g.AddLocal(poison, quarantine.Record{Servers: []string{"a", "b", "c", "d"}, Crashes: 4, Trials: trials}, start)
+				g.AddLocal(popular, quarantine.Record{Servers: []string{"a", "b", "c"}, Crashes: 3, Trials: trials}, later)
 				assert.Equal(t, g.Standing(popular), quarantine.Suspect)
-				for i := range quarantine.MaxCases - 2 {
+				for i := range quarantine.MaxRequests - 2 {
 					bar(g, i)
 				}
 				time.Sleep(time.Minute) // Refills the rate limit of the log.
 				log.Reset()
-				signal := g.News()
+				signal := g.BarredSignal()
 				remove(g)
 				assert.Equal(t, g.Standing(poison), quarantine.Clear)
 				assert.Equal(t, g.Standing(popular), quarantine.Barred)
--- a/internal/home/deaths_test.go
+++ b/internal/home/deaths_test.go
@@ -128,9 +128,9 @@
 func newCrashingService() (*home.Service, *crashingFleet) {
 	fleet := &crashingFleet{Fleet: leaffake.New(leafSlots, serviceTime, time.Millisecond), crashed: map[string]chan struct{}{}, runTimes: map[string]time.Duration{}}
 	s := home.NewService("search", fleet, home.Options{
-		Queue: admission.Settings{Length: 64, FloorShare: 0.02}, Hedging: true, HedgeQuantile: 97, ExtraShare: 0.05, Prefix: "home-0/1",
+		Queue: admission.Settings{Length: 64, FloorShare: 0.02}, Hedging: true, HedgeQuantile: 97, RetryBudgetRatio: 0.05, AttemptIDPrefix: "home-0/1",
 	})
-	s.Configure(spec(), home.Share{Homes: 1}, noneLeaving)
+	s.Configure(spec(), home.SlotShare{Homes: 1}, noneLeaving)
 	time.Sleep(time.Second)
 	return s, fleet
 }
--- a/internal/home/dispatch.go
+++ b/internal/home/dispatch.go
@@ -17,7 +17,7 @@
 	// leaf is the index of the leaf among the replicas of the shard.
 	leaf    int
 	address string
-	kind    obs.Attempt
+	kind    obs.AttemptKind
 	start   time.Time
 	cancel  context.CancelFunc
 	// outlivesQuery keeps the attempt running after the query has its part, as for
@@ -83,13 +83,13 @@
 	}
 	replicas := q.topology.shards[shard].replicas
 	excluded := q.excluded(shard) | 1<<chosen
-	if i := replicas.Probe(now, excluded, replica.ProbeEvery); i != replica.None {
+	if i := replicas.Probe(now, excluded, replica.ProbeInterval); i != replica.None {
 		s.send(q, shard, i, obs.Probe, now)
 	}
 }
 
 // send acquires a slot and starts an attempt; without a free slot it does nothing.
-func (s *Service) send(q *query, shard, chosen int, kind obs.Attempt, now time.Time) {
+func (s *Service) send(q *query, shard, chosen int, kind obs.AttemptKind, now time.Time) {
 	replicas := q.topology.shards[shard].replicas
 	if !replicas.Acquire(chosen, now) {
 		return
@@ -148,7 +148,7 @@
 	notify := s.observeStatus(a.address, reply.GetStatus(), now)
 	switch {
 	case cutShort:
-		replicas.CutShort(a.leaf, now.Sub(a.start), now)
+		replicas.Canceled(a.leaf, now.Sub(a.start), now)
 	case err != nil:
 		replicas.Failed(a.leaf, now)
 	case reply.GetRefusal() != nil:
--- a/internal/home/plan.go
+++ b/internal/home/plan.go
@@ -23,8 +23,8 @@
 	admissionOvercommit = 5
 )
 
-// Share is this host's part of a service's slots: that of home number Index of Homes.
-type Share struct {
+// SlotShare is this host's part of a service's slots: that of home number Index of Homes.
+type SlotShare struct {
 	Homes, Index int
 }
 
@@ -61,17 +61,17 @@
 	sequence uint64
 	// excluded is the bit set of replicas that must not be used.
 	excluded uint64
-	kind     obs.Attempt
+	kind     obs.AttemptKind
 }
 
 // newTopology builds the topology of spec. Leaves in known are reused; new ones are
 // added to it.
-func newTopology(spec *configpb.Service, share Share, known map[string]*replica.Leaf, options Options, rng *rand.Rand) *topology {
+func newTopology(spec *configpb.Service, share SlotShare, known map[string]*replica.Leaf, options Options, rng *rand.Rand) *topology {
 	t := &topology{spec: spec, byAddress: map[string][]replicaRef{}}
 	counts := make([]int, 0, len(spec.GetShards()))
 	slots := int(min(spec.GetSlots(), spec.GetConnections()))
 	for i, s := range spec.GetShards() {
-		shares := limit.Share(len(s.GetReplicas()), slots, share.Homes, share.Index)
+		shares := limit.Shares(len(s.GetReplicas()), slots, share.Homes, share.Index)
 		leaves := make([]*replica.Leaf, 0, len(shares))
 		for j, r := range s.GetReplicas() {
 			l := known[r.GetAddress()]
--- a/internal/home/query.go
+++ b/internal/home/query.go
@@ -95,7 +95,7 @@
 func (q *query) fanOut() {
 	t, now := q.topology, time.Now()
 	pinned := scatter.Snapshot{Epoch: t.spec.GetEpoch(), Version: t.tracker.Choose().Version}
-	early := scatter.Early{
+	early := scatter.EarlyStop{
 		Share: t.spec.GetEarlyShare(),
 		After: time.Duration(t.spec.GetEarlyAfterMs()) * time.Millisecond,
 	}
@@ -110,7 +110,7 @@
 }
 
 // startAttempt sends an attempt for a shard, or queues it until a slot is free.
-func (q *query) startAttempt(shard int, kind obs.Attempt, now time.Time) {
+func (q *query) startAttempt(shard int, kind obs.AttemptKind, now time.Time) {
 	if q.holdForTrial(shard, kind, now) {
 		return
 	}
@@ -187,11 +187,11 @@
 	if q.gather.Running(shard) > 0 {
 		return
 	}
-	why := scatter.NotMissing
+	why := scatter.ReasonNone
 	if q.tried[shard] == 0 {
 		why = scatter.NoReplica
 		if q.excluded(shard) != 0 {
-			why = scatter.NotHeld
+			why = scatter.SnapshotUnavailable
 		}
 	}
 	q.gather.GiveUp(shard, why)
--- a/internal/home/reply.go
+++ b/internal/home/reply.go
@@ -73,7 +73,7 @@
 		q.cancelOthers(a.shard)
 	case scatter.OtherSnapshot:
 		q.retryAttempt(a, obs.RetrySnapshot, false, now)
-	case scatter.CutShort:
+	case scatter.Truncated:
 		q.retryAttempt(a, obs.RetryFailed, false, now)
 	}
 }
@@ -103,7 +103,7 @@
 // retryAttempt retries a shard after an attempt ended without a part. A non-repeatable
 // request is retried only if no leaf can have executed it. A retry that is budgetExempt
 // takes no token.
-func (q *query) retryAttempt(a *attempt, kind obs.Attempt, budgetExempt bool, now time.Time) {
+func (q *query) retryAttempt(a *attempt, kind obs.AttemptKind, budgetExempt bool, now time.Time) {
 	if !q.gather.Open(a.shard) || q.gather.Running(a.shard) > 0 {
 		return
 	}
@@ -111,7 +111,7 @@
 		q.tried[a.shard] |= 1 << a.leaf
 	}
 	if q.notRepeatable && q.maybeExecuted > 0 {
-		q.gather.GiveUp(a.shard, scatter.NotMissing)
+		q.gather.GiveUp(a.shard, scatter.ReasonNone)
 		return
 	}
 	replicas := q.topology.shards[a.shard].replicas
@@ -124,7 +124,7 @@
 			q.retryLater(a.shard, now)
 			return
 		}
-		q.gather.GiveUp(a.shard, scatter.NotMissing)
+		q.gather.GiveUp(a.shard, scatter.ReasonNone)
 		return
 	}
 	q.startAttempt(a.shard, kind, now)
--- a/internal/home/serve.go
+++ b/internal/home/serve.go
@@ -41,7 +41,7 @@
 	}
 	s.mu.Unlock()
 	if barredText != "" && maybeExecuted > 0 {
-		return Unknown(req, callerpb.Reason_BARRED, barredText, quarantine.FirstProbation)
+		return OutcomeUnknown(req, callerpb.Reason_BARRED, barredText, quarantine.FirstProbation)
 	}
 	return buildReply(ctx, req, result, maybeExecuted, spec.GetMinCoverage(), serviceTime)
 }
@@ -100,8 +100,8 @@
 	return failureReply(req, callerpb.Outcome_NOT_RUN, reason, message, retryAfter)
 }
 
-// Unknown returns the reply to a request that may have been executed.
-func Unknown(req *callerpb.AskRequest, reason callerpb.Reason, message string, retryAfter time.Duration) *callerpb.AskReply {
+// OutcomeUnknown returns the reply to a request that may have been executed.
+func OutcomeUnknown(req *callerpb.AskRequest, reason callerpb.Reason, message string, retryAfter time.Duration) *callerpb.AskReply {
 	return failureReply(req, callerpb.Outcome_UNKNOWN, reason, message, retryAfter)
 }
 
@@ -129,7 +129,7 @@
 			Rows:      result.Rows,
 		}
 	}
-	reply := Unknown(req, reasonFor(ctx, result), "", retryAfter)
+	reply := OutcomeUnknown(req, reasonFor(ctx, result), "", retryAfter)
 	reply.Coverage = coverage(result)
 	if maybeExecuted == 0 {
 		reply.Outcome = callerpb.Outcome_NOT_RUN
@@ -150,15 +150,15 @@
 	if len(result.Contributed) > 0 {
 		return callerpb.Reason_LOW_COVERAGE
 	}
-	reasons := map[scatter.Missing]callerpb.Reason{
-		scatter.NoReplica: callerpb.Reason_NO_REPLICA,
-		scatter.NotHeld:   callerpb.Reason_NO_REPLICA,
-		scatter.Refused:   callerpb.Reason_LEAF_REFUSED,
-		scatter.Failed:    callerpb.Reason_LEAF_LOST,
-		scatter.Clipped:   callerpb.Reason_LEAF_LOST,
+	reasons := map[scatter.MissingReason]callerpb.Reason{
+		scatter.NoReplica:           callerpb.Reason_NO_REPLICA,
+		scatter.SnapshotUnavailable: callerpb.Reason_NO_REPLICA,
+		scatter.Refused:             callerpb.Reason_LEAF_REFUSED,
+		scatter.Failed:              callerpb.Reason_LEAF_LOST,
+		scatter.TruncatedPart:       callerpb.Reason_LEAF_LOST,
 	}
 	for _, m := range result.Missing {
-		if reason, ok := reasons[m.Why]; ok {
+		if reason, ok := reasons[m.Reason]; ok {
 			return reason
 		}
 	}
@@ -168,17 +168,17 @@
 func coverage(result scatter.Result) *callerpb.Coverage {
 	c := &callerpb.Coverage{Contributed: result.Contributed}
 	for _, m := range result.Missing {
-		c.Missing = append(c.Missing, &callerpb.MissingShard{Shard: m.Name, Reason: missingReasons[m.Why]})
+		c.Missing = append(c.Missing, &callerpb.MissingShard{Shard: m.Name, Reason: missingReasons[m.Reason]})
 	}
 	return c
 }
 
 var missingReasons = [...]callerpb.MissingReason{
-	scatter.NotMissing: callerpb.MissingReason_MISSING_UNSPECIFIED,
-	scatter.NoReplica:  callerpb.MissingReason_NO_LIVE_REPLICA,
-	scatter.Refused:    callerpb.MissingReason_REFUSED,
-	scatter.Failed:     callerpb.MissingReason_FAILED,
-	scatter.TooLate:    callerpb.MissingReason_TOO_LATE,
-	scatter.NotHeld:    callerpb.MissingReason_OTHER_SNAPSHOT,
-	scatter.Clipped:    callerpb.MissingReason_CUT_SHORT,
+	scatter.ReasonNone:          callerpb.MissingReason_MISSING_UNSPECIFIED,
+	scatter.NoReplica:           callerpb.MissingReason_NO_LIVE_REPLICA,
+	scatter.Refused:             callerpb.MissingReason_REFUSED,
+	scatter.Failed:              callerpb.MissingReason_FAILED,
+	scatter.TooLate:             callerpb.MissingReason_TOO_LATE,
+	scatter.SnapshotUnavailable: callerpb.MissingReason_OTHER_SNAPSHOT,
+	scatter.TruncatedPart:       callerpb.MissingReason_CUT_SHORT,
 }
--- a/internal/home/service.go
+++ b/internal/home/service.go
@@ -38,17 +38,17 @@
 	// HedgeQuantile is the percentile (0 to 100) of a shard's recent latency after
 	// which a hedge is sent.
 	HedgeQuantile float64
-	// ExtraShare is the number of retries and hedges permitted per first attempt.
-	ExtraShare float64
-	// Prefix makes attempt identifiers unique across hosts and restarts: host name and
+	// RetryBudgetRatio is the number of retries and hedges permitted per first attempt.
+	RetryBudgetRatio float64
+	// AttemptIDPrefix makes attempt identifiers unique across hosts and restarts: host name and
 	// incarnation.
-	Prefix string
-	// Leaving is called without any lock held when a leaf reports that it is draining.
-	Leaving func(address string, incarnation uint64)
-	// Seen is called without any lock held when a leaf reports a new incarnation that
+	AttemptIDPrefix string
+	// OnLeafLeaving is called without any lock held when a leaf reports that it is draining.
+	OnLeafLeaving func(address string, incarnation uint64)
+	// OnLeafRestarted is called without any lock held when a leaf reports a new incarnation that
 	// is not draining.
-	Seen func(address string, incarnation uint64)
-	Seed uint64
+	OnLeafRestarted func(address string, incarnation uint64)
+	Seed            uint64
 }
 
 // Service coordinates the queries of one service at this host. It is safe for
@@ -62,7 +62,7 @@
 	// mu guards the fields below. It is never held during a call.
 	mu    sync.Mutex
 	rng   *rand.Rand
-	share Share
+	share SlotShare
 	// topology is that of the current shard map. Running queries may still use
 	// oldTopologies.
 	topology      *topology
@@ -96,8 +96,8 @@
 		rng:                rand.New(rand.NewPCG(options.Seed, uint64(len(name)))),
 		leaves:             map[string]*replica.Leaf{},
 		incarnations:       map[string]uint64{},
-		queue:              admission.New(options.Queue, 1),
-		budget:             retry.NewBudget(options.ExtraShare, budgetBurst),
+		queue:              admission.NewQueue(options.Queue, 1),
+		budget:             retry.NewBudget(options.RetryBudgetRatio, budgetBurst),
 		quarantine:         quarantine.NewBook(name),
 		barredChanged:      make(chan struct{}),
 		leavingIncarnation: func(string) (uint64, bool) { return 0, false },
@@ -106,7 +106,7 @@
 
 // Configure applies a shard map, this host's share of the slots and the known leaving
 // leaves. Running queries keep the shard map they started with.
-func (s *Service) Configure(spec *configpb.Service, share Share, leavingIncarnation func(address string) (uint64, bool)) {
+func (s *Service) Configure(spec *configpb.Service, share SlotShare, leavingIncarnation func(address string) (uint64, bool)) {
 	s.mu.Lock()
 	s.leavingIncarnation = leavingIncarnation
 	specChanged := s.topology == nil || s.topology.spec != spec
@@ -176,7 +176,7 @@
 		if !used {
 			delete(s.leaves, address)
 			delete(s.incarnations, address)
-			go s.client.Forget(address)
+			go s.client.CloseConn(address)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 		l.Leaving = leaving && (incarnation == 0 || known == 0 || known <= incarnation)
 		for _, t := range s.topologies() {
 			for _, ref := range t.byAddress[address] {
-				t.tracker.SetOut(ref.shard, ref.leaf, l.Leaving)
+				t.tracker.SetUnavailable(ref.shard, ref.leaf, l.Leaving)
 			}
 		}
 	}
@@ -246,15 +246,15 @@
 			s.leafRestarted(address, now)
 		}
 		s.markLeaving()
-		if !status.GetDraining() && s.options.Seen != nil {
-			notify = func() { s.options.Seen(address, incarnation) }
+		if !status.GetDraining() && s.options.OnLeafRestarted != nil {
+			notify = func() { s.options.OnLeafRestarted(address, incarnation) }
 		}
 	}
 	if status.GetDraining() && !l.Leaving && incarnation >= known {
 		l.Leaving = true
 		s.capacityMeasuredAt = time.Time{}
-		if s.options.Leaving != nil {
-			notify = func() { s.options.Leaving(address, incarnation) }
+		if s.options.OnLeafLeaving != nil {
+			notify = func() { s.options.OnLeafLeaving(address, incarnation) }
 		}
 	}
 	return notify
@@ -271,7 +271,7 @@
 
 // newAttemptID returns an identifier that is unique across all hosts and incarnations.
 func (s *Service) newAttemptID() string {
-	return fmt.Sprintf("%s/%s/%d", s.options.Prefix, s.name, s.lastAttemptID.Add(1))
+	return fmt.Sprintf("%s/%s/%d", s.options.AttemptIDPrefix, s.name, s.lastAttemptID.Add(1))
 }
 
 // slotRank returns the rank with which a request queues for slots: 0 for all if
@@ -292,10 +292,10 @@
 
 // takeExtraAttempt reports whether the budget permits one more retry or hedge, and
 // counts a denial.
-func (s *Service) takeExtraAttempt(kind obs.Attempt, rank uint32) bool {
+func (s *Service) takeExtraAttempt(kind obs.AttemptKind, rank uint32) bool {
 	if s.budget.Take(rank) {
 		return true
 	}
-	obs.CountDenied(kind)
+	obs.CountExtraDenied(kind)
 	return false
 }
--- a/internal/home/service_test.go
+++ b/internal/home/service_test.go
@@ -52,10 +52,10 @@
 
 func noneLeaving(string) (uint64, bool) { return 0, false }
 
-func newService(fleet *leaffake.Fleet, share home.Share, hedging bool) *home.Service {
+func newService(fleet *leaffake.Fleet, share home.SlotShare, hedging bool) *home.Service {
 	s := home.NewService("search", fleet, home.Options{
 		Queue:   admission.Settings{Length: 64, FloorShare: 0.02},
-		Hedging: hedging, HedgeQuantile: 97, ExtraShare: 0.05, Prefix: fmt.Sprintf("home-%d/1", share.Index),
+		Hedging: hedging, HedgeQuantile: 97, RetryBudgetRatio: 0.05, AttemptIDPrefix: fmt.Sprintf("home-%d/1", share.Index),
 	})
 	s.Configure(spec(), share, noneLeaving)
 	return s
@@ -124,7 +124,7 @@
 		t.Run(fmt.Sprint(factor, "x"), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				fleet := leaffake.New(leafSlots, serviceTime, 100*time.Microsecond)
-				s := newService(fleet, home.Share{Homes: 1}, true)
+				s := newService(fleet, home.SlotShare{Homes: 1}, true)
 				time.Sleep(time.Second)
 				d := &driver{}
 				d.send(s, "gate", 0, capacity/4, 300*time.Millisecond, 5*time.Second)
@@ -148,7 +148,7 @@
 				fleet := leaffake.New(leafSlots, serviceTime, 100*time.Microsecond)
 				d := &driver{}
 				for i := range homes {
-					s := newService(fleet, home.Share{Homes: homes, Index: i}, false)
+					s := newService(fleet, home.SlotShare{Homes: homes, Index: i}, false)
 					d.send(s, fmt.Sprint("home-", i), 0, 2*capacity/homes, 2*time.Second, 3*time.Second)
 				}
 				d.wg.Wait()
@@ -199,7 +199,7 @@
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				fleet := leaffake.New(leafSlots, serviceTime, 100*time.Microsecond)
-				s := newService(fleet, home.Share{Homes: 1}, true)
+				s := newService(fleet, home.SlotShare{Homes: 1}, true)
 				d := &driver{}
 				d.send(s, "before", 0, capacity/4, 300*time.Millisecond, 5*time.Second)
 				d.wg.Wait()
@@ -223,7 +223,7 @@
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				fleet := leaffake.New(leafSlots, serviceTime, 100*time.Microsecond)
-				s := newService(fleet, home.Share{Homes: 1}, true)
+				s := newService(fleet, home.SlotShare{Homes: 1}, true)
 				d := &driver{}
 				d.send(s, "before", 0, capacity/4, 300*time.Millisecond, 2*time.Second)
 				d.wg.Wait()
@@ -244,7 +244,7 @@
 func TestRefusalIsPrompt(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		fleet := leaffake.New(leafSlots, serviceTime, 100*time.Microsecond)
-		s := newService(fleet, home.Share{Homes: 1}, true)
+		s := newService(fleet, home.SlotShare{Homes: 1}, true)
 		d := &driver{}
 		d.send(s, "warm", 0, capacity/4, 300*time.Millisecond, time.Second)
 		d.wg.Wait()
--- a/internal/home/trial.go
+++ b/internal/home/trial.go
@@ -42,12 +42,12 @@
 // heldAttempt is an attempt that is held back during a trial.
 type heldAttempt struct {
 	shard int
-	kind  obs.Attempt
+	kind  obs.AttemptKind
 }
 
 // fingerprint identifies the content of a request and its desk.
 func fingerprint(req *callerpb.AskRequest) quarantine.Fingerprint {
-	return quarantine.Of(quarantine.Content{Host: req.GetService(), Caller: req.GetDesk(), Body: req.GetQuery()})
+	return quarantine.FingerprintOf(quarantine.Content{Host: req.GetService(), Caller: req.GetDesk(), Body: req.GetQuery()})
 }
 
 // checkQuarantine returns the initial quarantine state of a query, or a refusal if its
@@ -57,19 +57,19 @@
 	if s.quarantine.Len() == 0 {
 		return state, nil
 	}
-	s.quarantine.Expired(now) // The returned names matter only to a shared store, and there is none here.
+	s.quarantine.RemoveExpired(now) // The returned names matter only to a shared store, and there is none here.
 	s.signalBarred()
 	f := fingerprint(req)
 	switch s.quarantine.Standing(f) {
 	case quarantine.Clear:
 		return state, nil
 	case quarantine.Suspect:
-		state.Suspect(quarantine.AwaitVerdict(s.quarantine.VerdictBy(f), now, deadline))
+		state.Suspect(quarantine.TrialWaitDeadline(s.quarantine.TrialDeadline(f), now, deadline))
 		return state, nil
 	}
 	if name, due := s.quarantine.DueTrial(f, nil, now); due {
-		if claim, err := quarantine.ParseName(name); err == nil {
-			s.quarantine.LearnClaim(claim, now)
+		if claim, err := quarantine.ParseRecordKey(name); err == nil {
+			s.quarantine.ApplyClaim(claim, now)
 			state.Suspect(time.Time{})
 			state.probation = true
 			return state, nil
@@ -81,7 +81,7 @@
 // signalBarred wakes all running queries if a content became barred, since each that
 // continues may crash more leaves. s.mu must be held.
 func (s *Service) signalBarred() {
-	for _, c := range s.quarantine.Changes() {
+	for _, c := range s.quarantine.TakeChanges() {
 		if c.Now.Standing == quarantine.Barred {
 			close(s.barredChanged)
 			s.barredChanged = make(chan struct{})
@@ -99,7 +99,7 @@
 
 // barredMessage returns the message of a reply with reason BARRED. s.mu must be held.
 func (s *Service) barredMessage(f quarantine.Fingerprint) string {
-	return fmt.Sprintf("%d leaves crashed while running this query (fingerprint %v): fix the leaves; the query is tried again after a while", s.quarantine.Summary(f).Ended, f)
+	return fmt.Sprintf("%d leaves crashed while running this query (fingerprint %v): fix the leaves; the query is tried again after a while", s.quarantine.Summary(f).Crashes, f)
 }
 
 // hasCrashed asks a leaf whose call failed for its incarnation and reports whether its
@@ -117,17 +117,17 @@
 // holdForTrial reports whether an attempt must wait for a trial and then holds it.
 // Otherwise, if a trial is needed, the attempt becomes the trial. A trial never starts
 // beside other attempts of the query: a crash would prove nothing and cost a leaf.
-func (q *query) holdForTrial(shard int, kind obs.Attempt, now time.Time) bool {
+func (q *query) holdForTrial(shard int, kind obs.AttemptKind, now time.Time) bool {
 	state := &q.quarantine
 	if !state.OnTrial() || q.cleared() {
 		return false
 	}
-	if state.trialShard == noTrialShard && len(q.running) == 0 && !now.Before(state.TrialFrom()) {
+	if state.trialShard == noTrialShard && len(q.running) == 0 && !now.Before(state.NextTrial()) {
 		state.trialShard = shard
 		return false
 	}
 	state.held = append(state.held, heldAttempt{shard, kind})
-	if now.Before(state.TrialFrom()) {
+	if now.Before(state.NextTrial()) {
 		q.wakeBy(now.Add(trialPollInterval))
 	}
 	return true
@@ -137,7 +137,7 @@
 // with the same content was served while this one waited.
 func (q *query) cleared() bool {
 	if q.maybeExecuted == 0 && !q.quarantine.probation && q.service.quarantine.Standing(fingerprint(q.req)) == quarantine.Clear {
-		q.quarantine.Absolve()
+		q.quarantine.Clear()
 	}
 	return !q.quarantine.OnTrial()
 }
@@ -157,7 +157,7 @@
 // onLeafCrash records a leaf crash during an attempt. When the query has to go on
 // trial, its other attempts are canceled.
 func (q *query) onLeafCrash(a *attempt, now time.Time) {
-	isolate, report := q.quarantine.Ended(quarantine.End{Server: fmt.Sprintf("%s#%d", a.address, q.service.incarnations[a.address]), OnTrial: a.onTrial}, now)
+	isolate, report := q.quarantine.Crashed(quarantine.Crash{Server: fmt.Sprintf("%s#%d", a.address, q.service.incarnations[a.address]), OnTrial: a.onTrial}, now)
 	if isolate {
 		for _, other := range q.running {
 			other.cancel()
@@ -165,7 +165,7 @@
 		q.recordCrashes(now) // The content may be requested again before the trial ends.
 	}
 	if report {
-		q.quarantine.Wait(time.Duration(q.service.rng.Int64N(int64(quarantine.TrialSpread))))
+		q.quarantine.DelayTrial(time.Duration(q.service.rng.Int64N(int64(quarantine.MaxTrialJitter))))
 		q.recordCrashes(now)
 	}
 }
@@ -173,13 +173,13 @@
 // recordCrashes adds the crashes that no leaf has refuted by serving the query to the
 // service's quarantine, for later queries.
 func (q *query) recordCrashes(now time.Time) {
-	record, ok := q.quarantine.Tell()
+	record, ok := q.quarantine.TakeReport()
 	if !ok {
 		return
 	}
-	record.What = "query of desk " + q.req.GetDesk()
+	record.Description = "query of desk " + q.req.GetDesk()
 	f := fingerprint(q.req)
-	q.service.quarantine.Note(f, record, now)
+	q.service.quarantine.AddLocal(f, record, now)
 	q.service.signalBarred()
 	q.quarantine.barred = q.service.quarantine.Standing(f) == quarantine.Barred
 }
--- a/internal/httppool/pool.go
+++ b/internal/httppool/pool.go
@@ -67,9 +67,9 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether a response belongs to this request. If nil, every response
+	// Matches reports whether a response belongs to this request. If nil, every response
 	// does.
-	Mine func(*http.Response) bool
+	Matches func(*http.Response) bool
 	// MaxIdle bounds how long a reused connection may have been idle. 0 means no bound.
 	MaxIdle time.Duration
 }
@@ -169,8 +169,8 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize)}, nil
 }
 
-// Open establishes a connection to an address and adds it to the pool.
-func (p *Pool) Open(ctx context.Context, address string) error {
+// Prewarm establishes a connection to an address and adds it to the pool.
+func (p *Pool) Prewarm(ctx context.Context, address string) error {
 	c, err := p.dial(ctx, address)
 	if err == nil {
 		p.put(address, c, nil)
@@ -226,8 +226,8 @@
 	return n
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	conns := p.idle[address]
 	delete(p.idle, address)
@@ -237,8 +237,8 @@
 	}
 }
 
-// Sweep closes the idle connections that have expired.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the idle connections that have expired.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	var expired []*conn
 	for address, conns := range p.idle {
@@ -305,7 +305,7 @@
 		if err != nil {
 			return nil, false, fmt.Errorf("read response body from %s: %w", r.Address, err)
 		}
-		if r.Mine != nil && !r.Mine(head) {
+		if r.Matches != nil && !r.Matches(head) {
 			continue
 		}
 		reusable := !head.Close && c.reader.Buffered() == 0
--- a/internal/invariant/nemesis_test.go
+++ b/internal/invariant/nemesis_test.go
@@ -138,7 +138,7 @@
 func faultOf(b int) leaffake.Faults {
 	return []leaffake.Faults{
 		{Down: true}, {LoseReplies: true}, {LoseReplies: true}, {Slow: 50 * time.Millisecond}, {Slow: 2 * time.Second}, {Draining: true},
-		{Lies: true}, {Clip: true}, {Swap: true}, {FailFast: true}, {Silent: true},
+		{WrongVersion: true}, {DropRows: true}, {SwapReplies: true}, {FailFast: true}, {Silent: true},
 	}[b%11]
 }
 
--- a/internal/invariant/stop_test.go
+++ b/internal/invariant/stop_test.go
@@ -153,7 +153,7 @@
 	})
 	leaving, stopped := context.WithCancel(context.Background())
 	defer stopped()
-	h.daemon.Leave(leaving)
+	h.daemon.BeginStop(leaving)
 	time.Sleep(time.Second)
 	cl.mu.Lock()
 	h.leaving = true
@@ -162,7 +162,7 @@
 	time.Sleep(time.Second)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if cut := h.daemon.Drained(ctx); cut > 0 {
+	if cut := h.daemon.WaitDrained(ctx); cut > 0 {
 		cl.violationf("graceful stop: %d requests still in flight at host %d", cut, i)
 	}
 	cl.killHost(i)
--- a/internal/invariant/world_test.go
+++ b/internal/invariant/world_test.go
@@ -141,7 +141,7 @@
 		epoch:    1,
 		resent:   map[string]bool{},
 	}
-	cl.fleet.Gate = cl.gate
+	cl.fleet.BeforeSend = cl.gate
 	for i := range numHosts {
 		cl.daemons = append(cl.daemons, &host{address: peerAddress(i)})
 		cl.start(i)
@@ -159,7 +159,7 @@
 		if name != fmt.Sprintf("entry-%d", i) {
 			continue
 		}
-		cl.network.Await(h.address)
+		cl.network.WaitUntilThawed(h.address)
 		cl.mu.Lock()
 		defer cl.mu.Unlock()
 		return !h.dead && h.starts == incarnation
@@ -171,7 +171,7 @@
 func (cl *cluster) start(i int) {
 	h := cl.daemons[i]
 	ctx, cancel := context.WithCancel(context.Background())
-	edges := entry.Edges{Store: cl.platform, Hosts: cl.platform, Leafs: cl.fleet, Peers: cl.network.Client(h.address)}
+	edges := entry.Dependencies{Store: cl.platform, Hosts: cl.platform, Leaves: cl.fleet, Peers: cl.network.Client(h.address)}
 	cl.mu.Lock()
 	h.starts++
 	h.dead, h.leaving, h.lastRevision = false, false, 0
@@ -235,7 +235,7 @@
 // reply reached the caller; the reply of a frozen host is delayed.
 func (cl *cluster) send(i int, ask *callerpb.AskRequest, timeout time.Duration) *callerpb.AskReply {
 	h := cl.daemons[i]
-	cl.network.Await(h.address)
+	cl.network.WaitUntilThawed(h.address)
 	cl.mu.Lock()
 	dead, starts := h.dead, h.starts
 	daemon := h.daemon
@@ -250,7 +250,7 @@
 		cl.violationf("%s: %v", ask.GetRequestId(), err)
 		return nil
 	}
-	cl.network.Await(h.address)
+	cl.network.WaitUntilThawed(h.address)
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if h.dead || h.starts != starts {
--- a/internal/leaf/client.go
+++ b/internal/leaf/client.go
@@ -24,9 +24,9 @@
 	Execute(ctx context.Context, address string, request *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error)
 	// Describe returns the state of a server. It connects to the server if needed.
 	Describe(ctx context.Context, address string) (*leafpb.DescribeReply, error)
-	// Forget closes the connection to a server, for example one that was removed
+	// CloseConn closes the connection to a server, for example one that was removed
 	// from the configuration.
-	Forget(address string)
+	CloseConn(address string)
 }
 
 // NotSentError reports that no part of a request was sent.
@@ -60,22 +60,22 @@
 	dialTimeout = 2 * time.Second
 )
 
-// GRPC implements Client over gRPC. It multiplexes the requests to a server on one
+// GRPCClient implements Client over gRPC. It multiplexes the requests to a server on one
 // connection. It is safe for concurrent use.
-type GRPC struct {
+type GRPCClient struct {
 	credentials credentials.TransportCredentials
 	mu          sync.Mutex
 	conns       map[string]*grpc.ClientConn
 }
 
-// NewGRPC returns a client without connections. It uses the credentials for each
+// NewGRPCClient returns a client without connections. It uses the credentials for each
 // connection.
-func NewGRPC(c credentials.TransportCredentials) *GRPC {
-	return &GRPC{credentials: c, conns: map[string]*grpc.ClientConn{}}
+func NewGRPCClient(c credentials.TransportCredentials) *GRPCClient {
+	return &GRPCClient{credentials: c, conns: map[string]*grpc.ClientConn{}}
 }
 
 // Close closes all connections.
-func (c *GRPC) Close() {
+func (c *GRPCClient) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, conn := range c.conns {
@@ -84,8 +84,8 @@
 	}
 }
 
-// Forget implements Client.
-func (c *GRPC) Forget(address string) {
+// CloseConn implements Client.
+func (c *GRPCClient) CloseConn(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn := c.conns[address]; conn != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (c *GRPC) conn(address string) (*grpc.ClientConn, error) {
+func (c *GRPCClient) conn(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn := c.conns[address]; conn != nil {
@@ -117,7 +117,7 @@
 }
 
 // Execute implements Client.
-func (c *GRPC) Execute(ctx context.Context, address string, request *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
+func (c *GRPCClient) Execute(ctx context.Context, address string, request *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
 	conn, err := c.conn(address)
 	if err != nil {
 		return nil, &NotSentError{Address: address, Err: err}
@@ -131,7 +131,7 @@
 }
 
 // Describe implements Client.
-func (c *GRPC) Describe(ctx context.Context, address string) (*leafpb.DescribeReply, error) {
+func (c *GRPCClient) Describe(ctx context.Context, address string) (*leafpb.DescribeReply, error) {
 	conn, err := c.conn(address)
 	if err != nil {
 		return nil, err
--- a/internal/leaf/leaffake/fleet.go
+++ b/internal/leaf/leaffake/fleet.go
@@ -25,12 +25,12 @@
 	Slow time.Duration
 	// Draining refuses new requests and reports in the status that it is draining.
 	Draining bool
-	// Lies answers with the newest index version, whichever was requested.
-	Lies bool
-	// Clip omits the rows from parts but keeps the row count.
-	Clip bool
-	// Swap answers with the reply to the previous request.
-	Swap bool
+	// WrongVersion answers with the newest index version, whichever was requested.
+	WrongVersion bool
+	// DropRows omits the rows from parts but keeps the row count.
+	DropRows bool
+	// SwapReplies answers with the reply to the previous request.
+	SwapReplies bool
 	// FailFast answers every request with an error, without executing it.
 	FailFast bool
 	// Silent executes requests and never replies; the connection is lost later.
@@ -59,13 +59,13 @@
 type Fleet struct {
 	// Slots is the number of concurrent requests that each leaf accepts.
 	Slots int
-	// Service is the service time of a request.
-	Service time.Duration
+	// ServiceTime is the service time of a request.
+	ServiceTime time.Duration
 	// Delay is the one-way network latency.
 	Delay time.Duration
-	// Gate is called before an attempt is sent. It may block, and returns false if
+	// BeforeSend is called before an attempt is sent. It may block, and returns false if
 	// the sending host is dead, so that the attempt is not sent.
-	Gate func(attempt string) bool
+	BeforeSend func(attempt string) bool
 
 	mu          sync.Mutex
 	servers     map[string]*server
@@ -76,8 +76,8 @@
 // New returns a fleet. A leaf is created when its address is first used.
 func New(slots int, service, delay time.Duration) *Fleet {
 	return &Fleet{
-		Slots: slots, Service: service, Delay: delay,
-		Gate: func(string) bool { return true }, servers: map[string]*server{},
+		Slots: slots, ServiceTime: service, Delay: delay,
+		BeforeSend: func(string) bool { return true }, servers: map[string]*server{},
 	}
 }
 
@@ -143,7 +143,7 @@
 
 // Execute implements leaf.Client.
 func (f *Fleet) Execute(ctx context.Context, address string, request *leafpb.ExecuteRequest) (*leafpb.ExecuteReply, error) {
-	if !f.Gate(request.GetAttemptId()) {
+	if !f.BeforeSend(request.GetAttemptId()) {
 		return nil, &leaf.NotSentError{Address: address, Err: errLost}
 	}
 	f.mu.Lock()
@@ -190,7 +190,7 @@
 		Request: request.GetRequestId(), Attempt: request.GetAttemptId(), Address: address, At: time.Now(),
 	})
 	f.mu.Unlock()
-	time.Sleep(f.Service + faults.Slow)
+	time.Sleep(f.ServiceTime + faults.Slow)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.inFlight--
@@ -204,7 +204,7 @@
 		return leafpb.Refusal_DRAINING
 	case s.inFlight >= f.Slots:
 		return leafpb.Refusal_SHED
-	case v != 0 && !s.faults.Lies && !slices.Contains(s.versions, v):
+	case v != 0 && !s.faults.WrongVersion && !slices.Contains(s.versions, v):
 		return leafpb.Refusal_VERSION_GONE
 	default:
 		return leafpb.Refusal_KIND_UNSPECIFIED
@@ -214,14 +214,14 @@
 func (f *Fleet) answer(s *server, request *leafpb.ExecuteRequest, faults Faults) (*leafpb.ExecuteReply, error) {
 	newest := s.versions[len(s.versions)-1]
 	version := request.GetIndexVersion()
-	if version == 0 || faults.Lies {
+	if version == 0 || faults.WrongVersion {
 		version = newest
 	}
 	part := &leafpb.Part{
 		Shard: request.GetShard(), Epoch: request.GetEpoch(), IndexVersion: version, RowCount: 1,
 		Rows: [][]byte{[]byte(Row(request.GetRequestId(), request.GetShard(), request.GetEpoch(), version))},
 	}
-	if faults.Clip {
+	if faults.DropRows {
 		part.Rows = nil
 	}
 	reply := &leafpb.ExecuteReply{
@@ -237,7 +237,7 @@
 		time.Sleep(silentDuration)
 		f.mu.Lock()
 		return nil, errLost
-	case faults.Swap && previous != nil:
+	case faults.SwapReplies && previous != nil:
 		return previous, nil
 	default:
 		return reply, nil
@@ -273,5 +273,5 @@
 	return &leafpb.DescribeReply{Status: s.status(), Slots: uint32(f.Slots)}, nil
 }
 
-// Forget implements leaf.Client.
-func (f *Fleet) Forget(string) {}
+// CloseConn implements leaf.Client.
+func (f *Fleet) CloseConn(string) {}
--- a/internal/load/direct.go
+++ b/internal/load/direct.go
@@ -18,12 +18,12 @@
 // shard, without retries or an early answer. It is the baseline for the overhead
 // of the tier.
 type directClient struct {
-	leaves   *leaf.GRPC
+	leaves   *leaf.GRPCClient
 	services map[string]*configpb.Service
 }
 
 func newDirectClient(c *configpb.Config) *directClient {
-	d := &directClient{leaves: leaf.NewGRPC(insecure.NewCredentials()), services: map[string]*configpb.Service{}}
+	d := &directClient{leaves: leaf.NewGRPCClient(insecure.NewCredentials()), services: map[string]*configpb.Service{}}
 	for _, s := range c.GetServices() {
 		d.services[s.GetName()] = s
 	}
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -29,10 +29,10 @@
 	InTime  int
 	NotRun  int
 	Unknown int
-	// Cut counts the requests that got no reply.
-	Cut int
-	// Wrong describes the answers that failed Check.
-	Wrong []string
+	// NoReply counts the requests that got no reply.
+	NoReply int
+	// Mismatches describes the answers that failed Check.
+	Mismatches []string
 	// Reasons counts the requests without an answer, by reason.
 	Reasons map[string]int
 	// latency holds the latencies of answers, in microseconds.
@@ -78,8 +78,8 @@
 	return i.coverageSum / float64(i.Answered)
 }
 
-// Told is the final outcome of a request, as reported to its desk.
-type Told struct {
+// Outcome is the final outcome of a request, as reported to its desk.
+type Outcome struct {
 	Request       string
 	Outcome       callerpb.Outcome
 	NotRepeatable bool
@@ -89,7 +89,7 @@
 type recorder struct {
 	mu       sync.Mutex
 	classes  map[string]*Class
-	outcomes []Told
+	outcomes []Outcome
 	interval time.Duration
 }
 
@@ -121,7 +121,7 @@
 func (r *recorder) add(o observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	outcome := Told{Request: o.ask.GetRequestId(), Outcome: o.reply.GetOutcome(), NotRepeatable: o.ask.GetNotRepeatable()}
+	outcome := Outcome{Request: o.ask.GetRequestId(), Outcome: o.reply.GetOutcome(), NotRepeatable: o.ask.GetNotRepeatable()}
 	r.outcomes = append(r.outcomes, outcome)
 	if !o.measured {
 		return
@@ -131,7 +131,7 @@
 	c.Sent++
 	step.Sent++
 	if o.err != nil {
-		c.Cut++
+		c.NoReply++
 		c.Reasons["CALL "+status.Code(o.err).String()]++
 		return
 	}
@@ -155,8 +155,8 @@
 	if o.took <= o.deadline {
 		c.InTime++
 	}
-	if mismatch := Check(o.ask, o.reply); mismatch != "" {
-		c.Wrong = append(c.Wrong, mismatch)
+	if mismatch := CheckAnswer(o.ask, o.reply); mismatch != "" {
+		c.Mismatches = append(c.Mismatches, mismatch)
 	}
 	_ = c.latency.RecordValue(min(o.took.Microseconds(), maxLatencyMicros))
 	if step.latency == nil {
@@ -169,10 +169,10 @@
 	step.coverageSum += share
 }
 
-// Check compares an answer with the rows that stand-in leaves return: one row for
+// CheckAnswer compares an answer with the rows that stand-in leaves return: one row for
 // each shard of the coverage, of this request and of the snapshot of the reply.
 // It returns a description of the first difference, or an empty string.
-func Check(ask *callerpb.AskRequest, reply *callerpb.AskReply) string {
+func CheckAnswer(ask *callerpb.AskRequest, reply *callerpb.AskReply) string {
 	contributed := reply.GetCoverage().GetContributed()
 	if reply.GetRequestId() != ask.GetRequestId() {
 		return fmt.Sprintf("received the reply to request %s for request %s", reply.GetRequestId(), ask.GetRequestId())
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -35,9 +35,9 @@
 type Targets struct {
 	// Entries are the callers addresses of the entry hosts.
 	Entries []string
-	// Ready are the HTTP addresses of the same hosts, in the same order, for
+	// ReadyAddresses are the HTTP addresses of the same hosts, in the same order, for
 	// readiness checks. A host without one always counts as ready.
-	Ready []string
+	ReadyAddresses []string
 	// Direct, if not nil, is a configuration whose leaves are queried without
 	// entry hosts.
 	Direct *configpb.Config
@@ -50,8 +50,8 @@
 // Report holds the results of a run.
 type Report struct {
 	Classes []*Class
-	// Told holds the final outcome of every request, warm-up included.
-	Told []Told
+	// Outcomes holds the final outcome of every request, warm-up included.
+	Outcomes []Outcome
 	// Executed and Shed count the requests that the leaves executed and shed
 	// during the run.
 	Executed, Shed uint64
@@ -96,7 +96,7 @@
 	r.runLoad(ctx, names)
 	after := r.counters(ctx)
 	report := &Report{
-		Told: r.recorder.outcomes, Duration: duration, Interval: interval,
+		Outcomes: r.recorder.outcomes, Duration: duration, Interval: interval,
 		Executed: after.GetExecuted() - before.GetExecuted(), Shed: after.GetShed() - before.GetShed(),
 		MaxInFlight: after.GetMaxInFlight(), MaxConnections: after.GetMaxConnections(),
 	}
@@ -117,8 +117,8 @@
 	}
 	for i, address := range targets.Entries {
 		b := &backend{}
-		if i < len(targets.Ready) {
-			b.readyAddress = targets.Ready[i]
+		if i < len(targets.ReadyAddresses) {
+			b.readyAddress = targets.ReadyAddresses[i]
 		}
 		b.ready.Store(true)
 		for range connsPerEntry {
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -15,27 +15,27 @@
 	fmt.Fprintln(t, "class\tsent\tanswered\tin time\tp50 ms\tp99 ms\tp99.9 ms\tcoverage\tnot run\tunknown\tcut\treasons")
 	for _, c := range r.Classes {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.1f\t%.1f\t%.1f\t%.5f\t%d\t%d\t%d\t%s\n", c.Name, c.Sent, c.Answered,
-			ratio(c.InTime, c.Sent), c.Quantile(50), c.Quantile(99), c.Quantile(99.9), c.Coverage(), c.NotRun, c.Unknown, c.Cut, formatReasons(c.Reasons))
+			ratio(c.InTime, c.Sent), c.Quantile(50), c.Quantile(99), c.Quantile(99.9), c.Coverage(), c.NotRun, c.Unknown, c.NoReply, formatReasons(c.Reasons))
 	}
 	_ = t.Flush()
 	fmt.Fprintf(w, "leaves: executed %d, shed %d, most in flight on one leaf %d, most connections to one leaf %d\n",
 		r.Executed, r.Shed, r.MaxInFlight, r.MaxConnections)
 }
 
-// Wrong describes the answers of all classes that failed Check.
-func (r *Report) Wrong() []string {
+// Mismatches describes the answers of all classes that failed Check.
+func (r *Report) Mismatches() []string {
 	var mismatches []string
 	for _, c := range r.Classes {
-		mismatches = append(mismatches, c.Wrong...)
+		mismatches = append(mismatches, c.Mismatches...)
 	}
 	return mismatches
 }
 
-// Cut returns the number of requests that got no reply.
-func (r *Report) Cut() int {
+// NoReply returns the number of requests that got no reply.
+func (r *Report) NoReply() int {
 	cut := 0
 	for _, c := range r.Classes {
-		cut += c.Cut
+		cut += c.NoReply
 	}
 	return cut
 }
--- a/internal/load/verify.go
+++ b/internal/load/verify.go
@@ -10,7 +10,7 @@
 
 // Verify compares the outcomes reported to desks with the executions recorded by
 // the leaves, and returns the violations. See Violations.
-func Verify(ctx context.Context, targets Targets, told []Told) ([]string, error) {
+func Verify(ctx context.Context, targets Targets, told []Outcome) ([]string, error) {
 	executed := map[string]int{}
 	for _, address := range targets.LeafControls {
 		conn, err := dial(address)
@@ -32,7 +32,7 @@
 // Violations checks that no request reported as not run was executed, that no
 // non-repeatable request was executed twice, and that an answered non-repeatable
 // request was executed once. executed holds the executions of each request.
-func Violations(told []Told, executed map[string]int) []string {
+func Violations(told []Outcome, executed map[string]int) []string {
 	var violations []string
 	for _, t := range told {
 		n := executed[t.Request]
--- a/internal/obs/bounded.go
+++ b/internal/obs/bounded.go
@@ -8,10 +8,10 @@
 	"github.com/rs/zerolog"
 )
 
-// Bounded returns a logger that writes at most perSecond lines a second. Dropped
+// RateLimited returns a logger that writes at most perSecond lines a second. Dropped
 // lines are counted in mallowgap_log_lines_sampled_total and in the field left_out
 // of the next line that is written, which shows where lines are missing.
-func Bounded(log zerolog.Logger, perSecond int) zerolog.Logger {
+func RateLimited(log zerolog.Logger, perSecond int) zerolog.Logger {
 	b := &lineLimiter{
 		burst:   zerolog.BurstSampler{Burst: uint32(perSecond), Period: time.Second},
 		counter: metrics.GetOrCreateCounter("mallowgap_log_lines_sampled_total"),
--- a/internal/obs/bounded_test.go
+++ b/internal/obs/bounded_test.go
@@ -16,7 +16,7 @@
 func TestLinesBeyondTheBoundAreCountedInTheNextLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
-		log := obs.Bounded(zerolog.New(zerolog.SyncWriter(&out)), 3)
+		log := obs.RateLimited(zerolog.New(zerolog.SyncWriter(&out)), 3)
 		for range 10 {
 			log.Info().Msg("a")
 		}
--- a/internal/obs/counters.go
+++ b/internal/obs/counters.go
@@ -8,12 +8,12 @@
 	"github.com/mallowgap/mallowgap/api/callerpb"
 )
 
-// Attempt is the reason for sending an attempt to a leaf.
-type Attempt int
+// AttemptKind is the reason for sending an attempt to a leaf.
+type AttemptKind int
 
 // Reasons for an attempt.
 const (
-	First Attempt = iota
+	First AttemptKind = iota
 	Hedge
 	RetryFailed
 	RetryRefused
@@ -25,12 +25,12 @@
 )
 
 // String returns the metric label of the reason.
-func (a Attempt) String() string {
+func (a AttemptKind) String() string {
 	return [...]string{"first", "hedge", "retry_failed", "retry_refused", "retry_not_sent", "retry_draining", "retry_snapshot", "probe"}[a]
 }
 
-// Extra reports whether the attempt may execute a request another time.
-func (a Attempt) Extra() bool { return a != First }
+// IsExtra reports whether the attempt may execute a request another time.
+func (a AttemptKind) IsExtra() bool { return a != First }
 
 var attemptCounters = newAttemptCounters()
 
@@ -43,7 +43,7 @@
 }
 
 // CountAttempt counts an attempt by its reason.
-func CountAttempt(a Attempt) { attemptCounters[a].Inc() }
+func CountAttempt(a AttemptKind) { attemptCounters[a].Inc() }
 
 // Counter returns the counter of a metric with one label.
 func Counter(name, label, value string) *metrics.Counter {
@@ -62,11 +62,13 @@
 // CountRefusal counts a refusal of a leaf by its kind.
 func CountRefusal(kind string) { Counter("mallowgap_leaf_refusals_total", "kind", kind).Inc() }
 
-// CountDenied counts an extra attempt that the retry budget did not permit.
-func CountDenied(a Attempt) { Counter("mallowgap_extra_denied_total", "kind", a.String()).Inc() }
+// CountExtraDenied counts an extra attempt that the retry budget did not permit.
+func CountExtraDenied(a AttemptKind) {
+	Counter("mallowgap_extra_denied_total", "kind", a.String()).Inc()
+}
 
-// CountStore counts a call to the platform by its kind and result.
-func CountStore(call string, err error) {
+// CountPlatformCall counts a call to the platform by its kind and result.
+func CountPlatformCall(call string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "error"
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For sleeps for d or until ctx is done, whichever is first.
-func For(ctx context.Context, d time.Duration) {
+// Sleep sleeps for d or until ctx is done, whichever is first.
+func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -62,17 +62,17 @@
 	maxIdleTotal = 512
 )
 
-// DRPC calls peers over DRPC. It implements Client and is safe for concurrent use.
-type DRPC struct {
+// DRPCClient calls peers over DRPCClient. It implements Client and is safe for concurrent use.
+type DRPCClient struct {
 	pool        *drpcpool.Pool[string, drpcpool.Conn]
 	dialTimeout time.Duration
 	identity    *secure.Identity
 }
 
-// NewDRPC returns a client without connections. dialTimeout bounds each dial.
+// NewDRPCClient returns a client without connections. dialTimeout bounds each dial.
 // identity is nil if TLS is disabled.
-func NewDRPC(dialTimeout time.Duration, identity *secure.Identity) *DRPC {
-	return &DRPC{
+func NewDRPCClient(dialTimeout time.Duration, identity *secure.Identity) *DRPCClient {
+	return &DRPCClient{
 		pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
 			Expiration: idleTimeout, KeyCapacity: maxIdlePerPeer, Capacity: maxIdleTotal,
 		}),
@@ -82,11 +82,11 @@
 }
 
 // Close closes all idle connections.
-func (c *DRPC) Close() error { return c.pool.Close() }
+func (c *DRPCClient) Close() error { return c.pool.Close() }
 
-// Forget closes the idle connections to a peer that stopped responding. All of them
+// CloseIdle closes the idle connections to a peer that stopped responding. All of them
 // may be dead without having been reset, while a new connection would work.
-func (c *DRPC) Forget(address string) {
+func (c *DRPCClient) CloseIdle(address string) {
 	for {
 		conn, ok := c.pool.Take(address)
 		if !ok {
@@ -97,13 +97,13 @@
 }
 
 // call runs fn with a client on a pooled or new connection.
-func (c *DRPC) call(ctx context.Context, address string, fn func(client peerpb.DRPCPeerClient) error) error {
+func (c *DRPCClient) call(ctx context.Context, address string, fn func(client peerpb.DRPCPeerClient) error) error {
 	return c.withConn(ctx, address, func(conn drpc.Conn) error { return fn(peerpb.NewDRPCPeerClient(conn)) })
 }
 
 // withConn runs fn with a pooled or new connection. It returns an *UnreachableError
 // if no connection could be established.
-func (c *DRPC) withConn(ctx context.Context, address string, fn func(conn drpc.Conn) error) error {
+func (c *DRPCClient) withConn(ctx context.Context, address string, fn func(conn drpc.Conn) error) error {
 	var dialErr error
 	conn := c.pool.Get(ctx, address, func(ctx context.Context, address string) (drpcpool.Conn, error) {
 		raw, err := c.dial(ctx, address)
@@ -122,17 +122,17 @@
 }
 
 // dial connects to a peer. With TLS, the handshake has completed when it returns.
-func (c *DRPC) dial(ctx context.Context, address string) (net.Conn, error) {
+func (c *DRPCClient) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: c.dialTimeout, Control: sockopt.UserTimeout(userTimeout)}
 	if c.identity == nil {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	tlsDialer := tls.Dialer{NetDialer: &dialer, Config: c.identity.Client()}
+	tlsDialer := tls.Dialer{NetDialer: &dialer, Config: c.identity.ClientConfig()}
 	return tlsDialer.DialContext(ctx, "tcp", address)
 }
 
 // Gossip implements Client.
-func (c *DRPC) Gossip(ctx context.Context, address string, message *peerpb.GossipMessage) (reply *peerpb.GossipMessage, err error) {
+func (c *DRPCClient) Gossip(ctx context.Context, address string, message *peerpb.GossipMessage) (reply *peerpb.GossipMessage, err error) {
 	err = c.call(ctx, address, func(client peerpb.DRPCPeerClient) (err error) {
 		reply, err = client.Gossip(ctx, message)
 		return err
@@ -141,7 +141,7 @@
 }
 
 // Forward implements Client.
-func (c *DRPC) Forward(ctx context.Context, address string, request *peerpb.ForwardRequest) (reply *callerpb.AskReply, err error) {
+func (c *DRPCClient) Forward(ctx context.Context, address string, request *peerpb.ForwardRequest) (reply *callerpb.AskReply, err error) {
 	err = c.call(ctx, address, func(client peerpb.DRPCPeerClient) (err error) {
 		reply, err = client.Forward(ctx, request)
 		return err
@@ -150,7 +150,7 @@
 }
 
 // FetchHead implements Client.
-func (c *DRPC) FetchHead(ctx context.Context, address string) (reply *peerpb.FetchHeadReply, err error) {
+func (c *DRPCClient) FetchHead(ctx context.Context, address string) (reply *peerpb.FetchHeadReply, err error) {
 	err = c.call(ctx, address, func(client peerpb.DRPCPeerClient) (err error) {
 		reply, err = client.FetchHead(ctx, &peerpb.FetchHeadRequest{})
 		return err
@@ -159,7 +159,7 @@
 }
 
 // FetchParts implements Client.
-func (c *DRPC) FetchParts(ctx context.Context, address string, request *peerpb.FetchPartsRequest) (reply *peerpb.FetchPartsReply, err error) {
+func (c *DRPCClient) FetchParts(ctx context.Context, address string, request *peerpb.FetchPartsRequest) (reply *peerpb.FetchPartsReply, err error) {
 	err = c.call(ctx, address, func(client peerpb.DRPCPeerClient) (err error) {
 		reply, err = client.FetchParts(ctx, request)
 		return err
@@ -168,7 +168,7 @@
 }
 
 // Applied implements Client.
-func (c *DRPC) Applied(ctx context.Context, address string) (reply *peerpb.AppliedReply, err error) {
+func (c *DRPCClient) Applied(ctx context.Context, address string) (reply *peerpb.AppliedReply, err error) {
 	err = c.call(ctx, address, func(client peerpb.DRPCPeerClient) (err error) {
 		reply, err = client.Applied(ctx, &peerpb.AppliedRequest{})
 		return err
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -94,7 +94,7 @@
 	l := &faultyListener{listener: listener}
 	go func() { _ = drpcserver.New(mux).Serve(ctx, l) }()
 
-	client := peer.NewDRPC(testTimeout, nil)
+	client := peer.NewDRPCClient(testTimeout, nil)
 	defer func() { _ = client.Close() }()
 	address := listener.Addr().String()
 	const calls = 5
@@ -108,7 +108,7 @@
 	}
 	wg.Wait()
 	assert.Equal(t, l.silence(), calls)
-	client.Forget(address)
+	client.CloseIdle(address)
 	reply, err := client.State(ctx, address, &relaypb.StateRequest{})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.GetRevision(), uint64(7))
--- a/internal/peer/peerfake/network.go
+++ b/internal/peer/peerfake/network.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Await blocks as long as a host is frozen.
-func (n *Network) Await(address string) {
+// WaitUntilThawed blocks as long as a host is frozen.
+func (n *Network) WaitUntilThawed(address string) {
 	for {
 		n.mu.Lock()
 		c := n.frozen[address]
@@ -131,7 +131,7 @@
 // call delivers a call to a peer. The peer runs it even if ctx ends before.
 func (c client) call(ctx context.Context, to string, run func(peerpb.DRPCPeerServer) (proto.Message, error)) (proto.Message, error) {
 	n := c.network
-	n.Await(c.from)
+	n.WaitUntilThawed(c.from)
 	if n.server(to) == nil || n.isCut(c.from, to) {
 		time.Sleep(n.Delay)
 		return nil, &peer.UnreachableError{Address: to, Err: errors.New("connection refused")}
@@ -139,14 +139,14 @@
 	results := make(chan result, 1)
 	go func() {
 		time.Sleep(n.Delay)
-		n.Await(to)
+		n.WaitUntilThawed(to)
 		server := n.server(to)
 		if server == nil {
 			results <- result{err: errLost}
 			return
 		}
 		reply, err := run(server)
-		n.Await(to)
+		n.WaitUntilThawed(to)
 		time.Sleep(n.Delay)
 		if !n.Alive(to) || n.isCut(to, c.from) {
 			reply, err = nil, errLost
@@ -157,7 +157,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case r := <-results:
-		n.Await(c.from)
+		n.WaitUntilThawed(c.from)
 		return r.reply, r.err
 	}
 }
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -12,7 +12,7 @@
 
 // Gather asks a peer to call backend servers near it. handle is called for each
 // reply up to the last one. An *UnreachableError means that nothing was sent.
-func (c *DRPC) Gather(ctx context.Context, address string, request *relaypb.GatherRequest, handle func(*relaypb.GatherReply)) error {
+func (c *DRPCClient) Gather(ctx context.Context, address string, request *relaypb.GatherRequest, handle func(*relaypb.GatherReply)) error {
 	return c.withConn(ctx, address, func(conn drpc.Conn) error {
 		stream, err := relaypb.NewDRPCRelayClient(conn).Gather(ctx, request)
 		if err != nil {
@@ -36,7 +36,7 @@
 
 // Follow subscribes to the platform state of a peer. handle is called for each
 // update until ctx ends or the connection fails.
-func (c *DRPC) Follow(ctx context.Context, address string, request *relaypb.FollowRequest, handle func(*relaypb.FollowReply)) error {
+func (c *DRPCClient) Follow(ctx context.Context, address string, request *relaypb.FollowRequest, handle func(*relaypb.FollowReply)) error {
 	return c.withConn(ctx, address, func(conn drpc.Conn) error {
 		stream, err := relaypb.NewDRPCRelayClient(conn).Follow(ctx, request)
 		if err != nil {
@@ -53,7 +53,7 @@
 }
 
 // Tell sends a peer the entries that this host cannot write to the store now.
-func (c *DRPC) Tell(ctx context.Context, address string, request *relaypb.TellRequest) error {
+func (c *DRPCClient) Tell(ctx context.Context, address string, request *relaypb.TellRequest) error {
 	return c.withConn(ctx, address, func(conn drpc.Conn) error {
 		_, err := relaypb.NewDRPCRelayClient(conn).Tell(ctx, request)
 		return err
@@ -61,7 +61,7 @@
 }
 
 // State returns the platform state of a peer.
-func (c *DRPC) State(ctx context.Context, address string, request *relaypb.StateRequest) (reply *relaypb.StateReply, err error) {
+func (c *DRPCClient) State(ctx context.Context, address string, request *relaypb.StateRequest) (reply *relaypb.StateReply, err error) {
 	err = c.withConn(ctx, address, func(conn drpc.Conn) (err error) {
 		reply, err = relaypb.NewDRPCRelayClient(conn).State(ctx, request)
 		return err
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	reply, err := c.kv.Get(ctx, &platformpb.GetRequest{Key: key})
-	obs.CountStore("get", err)
+	obs.CountPlatformCall("get", err)
 	if err != nil {
 		return config.Value{}, err
 	}
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	reply, err := c.kv.CompareAndSwap(ctx, &platformpb.CompareAndSwapRequest{Key: key, ExpectVersion: expect, Value: data})
-	obs.CountStore("compare_and_swap", err)
+	obs.CountPlatformCall("compare_and_swap", err)
 	if err != nil {
 		return false, err
 	}
@@ -86,7 +86,7 @@
 // value, or an error if ctx ends first.
 func (c *Client) Watch(ctx context.Context, key string, after uint64) (config.Value, error) {
 	reply, err := c.kv.Watch(ctx, &platformpb.WatchRequest{Key: key, AfterVersion: after})
-	obs.CountStore("watch", err)
+	obs.CountPlatformCall("watch", err)
 	if err != nil {
 		return config.Value{}, err
 	}
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	reply, err := c.hosts.List(ctx, &platformpb.ListRequest{})
-	obs.CountStore("list_hosts", err)
+	obs.CountPlatformCall("list_hosts", err)
 	if err != nil {
 		return nil, err
 	}
@@ -110,6 +110,6 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	_, err := c.hosts.Announce(ctx, &platformpb.AnnounceRequest{Host: host})
-	obs.CountStore("announce", err)
+	obs.CountPlatformCall("announce", err)
 	return err
 }
--- a/internal/secure/tls.go
+++ b/internal/secure/tls.go
@@ -53,9 +53,9 @@
 	return id, nil
 }
 
-// Server returns the TLS configuration of a server, or nil if TLS is disabled. If
+// ServerConfig returns the TLS configuration of a server, or nil if TLS is disabled. If
 // mutual is set, clients must present a certificate.
-func (id *Identity) Server(mutual bool) *tls.Config {
+func (id *Identity) ServerConfig(mutual bool) *tls.Config {
 	if id == nil {
 		return nil
 	}
@@ -66,8 +66,8 @@
 	return c
 }
 
-// Client returns the TLS configuration of a client, or nil if TLS is disabled.
-func (id *Identity) Client() *tls.Config {
+// ClientConfig returns the TLS configuration of a client, or nil if TLS is disabled.
+func (id *Identity) ClientConfig() *tls.Config {
 	if id == nil {
 		return nil
 	}
@@ -79,7 +79,7 @@
 	if id == nil {
 		return lis
 	}
-	return tls.NewListener(lis, id.Server(mutual))
+	return tls.NewListener(lis, id.ServerConfig(mutual))
 }
 
 // ServerCredentials returns the credentials of a gRPC server. Client certificates are
@@ -88,7 +88,7 @@
 	if id == nil {
 		return insecure.NewCredentials()
 	}
-	return credentials.NewTLS(id.Server(false))
+	return credentials.NewTLS(id.ServerConfig(false))
 }
 
 // ClientCredentials returns the credentials of a gRPC client.
@@ -96,5 +96,5 @@
 	if id == nil {
 		return insecure.NewCredentials()
 	}
-	return credentials.NewTLS(id.Client())
+	return credentials.NewTLS(id.ClientConfig())
 }
--- a/internal/secure/tls_test.go
+++ b/internal/secure/tls_test.go
@@ -104,12 +104,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = drpcserver.New(mux).Serve(ctx, identity.Listener(lis, true)) }()
-	reply, err := peer.NewDRPC(time.Second, identity).Applied(ctx, lis.Addr().String())
+	reply, err := peer.NewDRPCClient(time.Second, identity).Applied(ctx, lis.Addr().String())
 	assert.NilError(t, err)
 	assert.Equal(t, reply.GetRevision(), uint64(7))
 	for name, other := range map[string]*secure.Identity{"stranger": untrusted, "no TLS": nil} {
 		callCtx, cancelCall := context.WithTimeout(ctx, 2*time.Second)
-		_, err := peer.NewDRPC(time.Second, other).Applied(callCtx, lis.Addr().String())
+		_, err := peer.NewDRPCClient(time.Second, other).Applied(callCtx, lis.Addr().String())
 		cancelCall()
 		assert.Assert(t, err != nil, "%s must be rejected", name)
 	}
--- a/internal/standin/leaf.go
+++ b/internal/standin/leaf.go
@@ -27,17 +27,17 @@
 	Slots int
 	// Connections bounds the open connections; more are closed at once.
 	Connections int
-	// Service is the mean service time of a request.
-	Service time.Duration
-	// Connect is the time that a new connection takes.
-	Connect time.Duration
+	// ServiceTime is the mean service time of a request.
+	ServiceTime time.Duration
+	// ConnectTime is the time that a new connection takes.
+	ConnectTime time.Duration
 	// Versions are the index versions held, the newest last.
 	Versions []uint64
 	// Seed seeds the service times.
 	Seed uint64
-	// Record keeps all executions for Control.Executions. Without it only those
+	// RecordExecutions keeps all executions for Control.Executions. Without it only those
 	// of non-repeatable requests are kept.
-	Record bool
+	RecordExecutions bool
 }
 
 // Leaf simulates a backend server. It is safe for concurrent use.
@@ -192,7 +192,7 @@
 	l.inFlight++
 	l.counters.Executed++
 	l.counters.MaxInFlight = max(l.counters.MaxInFlight, uint64(l.inFlight))
-	if l.options.Record || request.GetNotRepeatable() {
+	if l.options.RecordExecutions || request.GetNotRepeatable() {
 		l.executions = append(l.executions, &platformpb.Execution{
 			RequestId: request.GetRequestId(), Shard: request.GetShard(),
 			Service: request.GetService(), NotRepeatable: request.GetNotRepeatable(),
@@ -204,7 +204,7 @@
 // serviceTime draws a service time: half of the mean is fixed, the other half
 // exponentially distributed. Slow and cold leaves multiply it. l.mu is held.
 func (l *Leaf) serviceTime() time.Duration {
-	duration := float64(l.options.Service) * (0.5 + 0.5*l.rng.ExpFloat64())
+	duration := float64(l.options.ServiceTime) * (0.5 + 0.5*l.rng.ExpFloat64())
 	if f := l.faults.GetSlowFactor(); f > 1 {
 		duration *= f
 	}
@@ -300,7 +300,7 @@
 			return nil, err
 		}
 		if c.leaf.adjustConnections(1) {
-			return &delayedConn{Conn: conn, leaf: c.leaf, ready: time.Now().Add(c.leaf.options.Connect)}, nil
+			return &delayedConn{Conn: conn, leaf: c.leaf, ready: time.Now().Add(c.leaf.options.ConnectTime)}, nil
 		}
 		_ = conn.Close()
 	}
--- a/internal/standin/shape.go
+++ b/internal/standin/shape.go
@@ -17,8 +17,8 @@
 
 	Slots       int
 	Connections int
-	Connect     time.Duration
-	Service     time.Duration
+	ConnectTime time.Duration
+	ServiceTime time.Duration
 
 	NotRepeatable bool
 	MinCoverage   float64
@@ -48,10 +48,10 @@
 		Name:    "trinacria",
 		Domains: []string{"palermo", "catania", "trapani"},
 		Services: []ServiceShape{
-			{Name: "finder", Shards: 20, Replicas: 2, Slots: 2, Connections: 25, Connect: 6 * time.Millisecond, Service: 5 * time.Millisecond, MinCoverage: 0.5, EarlyShare: 0.9, EarlyAfter: 150 * time.Millisecond},
-			{Name: "console", Shards: 30, Replicas: 2, Slots: 2, Connections: 25, Connect: 6 * time.Millisecond, Service: 5 * time.Millisecond, MinCoverage: 0.5, EarlyShare: 0.9, EarlyAfter: 150 * time.Millisecond},
-			{Name: "tags", Shards: 1, Replicas: 7, Slots: 4, Connections: 100, Connect: time.Millisecond, Service: 5 * time.Millisecond, NotRepeatable: true},
-			{Name: "kiosks", Shards: 1, Replicas: 3, Slots: 4, Connections: 100, Connect: time.Millisecond, Service: 5 * time.Millisecond},
+			{Name: "finder", Shards: 20, Replicas: 2, Slots: 2, Connections: 25, ConnectTime: 6 * time.Millisecond, ServiceTime: 5 * time.Millisecond, MinCoverage: 0.5, EarlyShare: 0.9, EarlyAfter: 150 * time.Millisecond},
+			{Name: "console", Shards: 30, Replicas: 2, Slots: 2, Connections: 25, ConnectTime: 6 * time.Millisecond, ServiceTime: 5 * time.Millisecond, MinCoverage: 0.5, EarlyShare: 0.9, EarlyAfter: 150 * time.Millisecond},
+			{Name: "tags", Shards: 1, Replicas: 7, Slots: 4, Connections: 100, ConnectTime: time.Millisecond, ServiceTime: 5 * time.Millisecond, NotRepeatable: true},
+			{Name: "kiosks", Shards: 1, Replicas: 3, Slots: 4, Connections: 100, ConnectTime: time.Millisecond, ServiceTime: 5 * time.Millisecond},
 		},
 		Classes: []string{"gate", "counter", "kiosk", "office"},
 		Desks:   []DeskShape{{"gate-1", "gate"}, {"counter-1", "counter"}, {"printer-1", "counter"}, {"kiosk-1", "kiosk"}, {"office-1", "office"}},
@@ -60,10 +60,10 @@
 		Name:    "veerik",
 		Domains: []string{"tallinn", "riga", "vilnius"},
 		Services: []ServiceShape{
-			{Name: "validation", Shards: 20, Replicas: 2, Slots: 2, Connections: 25, Connect: 6 * time.Millisecond, Service: 5 * time.Millisecond, MinCoverage: 0.5},
-			{Name: "reporting", Shards: 30, Replicas: 2, Slots: 2, Connections: 25, Connect: 6 * time.Millisecond, Service: 5 * time.Millisecond, MinCoverage: 0.5},
-			{Name: "shop", Shards: 1, Replicas: 3, Slots: 4, Connections: 40, Connect: time.Millisecond, Service: 5 * time.Millisecond},
-			{Name: "ledger", Shards: 1, Replicas: 3, Slots: 4, Connections: 40, Connect: time.Millisecond, Service: 5 * time.Millisecond, NotRepeatable: true},
+			{Name: "validation", Shards: 20, Replicas: 2, Slots: 2, Connections: 25, ConnectTime: 6 * time.Millisecond, ServiceTime: 5 * time.Millisecond, MinCoverage: 0.5},
+			{Name: "reporting", Shards: 30, Replicas: 2, Slots: 2, Connections: 25, ConnectTime: 6 * time.Millisecond, ServiceTime: 5 * time.Millisecond, MinCoverage: 0.5},
+			{Name: "shop", Shards: 1, Replicas: 3, Slots: 4, Connections: 40, ConnectTime: time.Millisecond, ServiceTime: 5 * time.Millisecond},
+			{Name: "ledger", Shards: 1, Replicas: 3, Slots: 4, Connections: 40, ConnectTime: time.Millisecond, ServiceTime: 5 * time.Millisecond, NotRepeatable: true},
 		},
 		Classes: []string{"border", "shop", "partner"},
 		Desks:   []DeskShape{{"border-1", "border"}, {"payout-1", "border"}, {"shop-1", "shop"}, {"partner-1", "partner"}},
@@ -121,8 +121,8 @@
 	for _, s := range d.Services {
 		for range s.Shards * s.Replicas {
 			leaves = append(leaves, NewLeaf(LeafOptions{
-				Address: loopbackAddress(port), Slots: s.Slots, Connections: s.Connections, Service: s.Service,
-				Connect: s.Connect, Versions: []uint64{1}, Seed: uint64(port), Record: record,
+				Address: loopbackAddress(port), Slots: s.Slots, Connections: s.Connections, ServiceTime: s.ServiceTime,
+				ConnectTime: s.ConnectTime, Versions: []uint64{1}, Seed: uint64(port), RecordExecutions: record,
 			}))
 			port++
 		}
--- a/limit/cold.go
+++ b/limit/cold.go
@@ -15,10 +15,10 @@
 	// coldMinWait is the shortest wait that Take returns. It prevents a busy loop when
 	// rounding leaves slightly less than one token.
 	coldMinWait = time.Millisecond
-	// ColdSettle is how long a host must have been among the callers of a cold server
+	// ColdCallerDelay is how long a host must have been among the callers of a cold server
 	// before it sends requests. Hosts that start together know each other within this
 	// time.
-	ColdSettle = 2 * time.Second
+	ColdCallerDelay = 2 * time.Second
 )
 
 // ColdBound limits the requests that a cold server receives from all hosts together.
@@ -26,9 +26,9 @@
 	// PerSecond is the number of requests per second that the server tolerates; 0 means
 	// unknown, without a bound.
 	PerSecond float64
-	// Excess and Slack define the maximum in any second: PerSecond times Excess plus
+	// Factor and Slack define the maximum in any second: PerSecond times Excess plus
 	// Slack requests.
-	Excess, Slack float64
+	Factor, Slack float64
 }
 
 // Known reports whether there is a bound.
@@ -36,7 +36,7 @@
 
 // usable returns how many requests hosts send in any second while they agree on the
 // callers.
-func (b ColdBound) usable() float64 { return coldUsableShare * (b.PerSecond*b.Excess + b.Slack) }
+func (b ColdBound) usable() float64 { return coldUsableShare * (b.PerSecond*b.Factor + b.Slack) }
 
 // Callers returns how many of the given number of hosts may call a cold server: at least
 // one, and beyond that so few that each may send two or more requests in any second.
@@ -51,12 +51,12 @@
 	return b.usable()/float64(max(callers, 1)) - coldBurst
 }
 
-// Cold is a token bucket for the requests of one host to one cold server. It is empty
-// during the first ColdSettle as a caller and then fills at a steady rate. It is not safe
+// ColdLimiter is a token bucket for the requests of one host to one cold server. It is empty
+// during the first ColdCallerDelay as a caller and then fills at a steady rate. It is not safe
 // for concurrent use.
-type Cold struct {
+type ColdLimiter struct {
 	tokens float64
-	// refilled is when tokens were last added; it lies in the future until ColdSettle has
+	// refilled is when tokens were last added; it lies in the future until ColdCallerDelay has
 	// passed.
 	refilled time.Time
 	// callerSince is when the host became a caller; zero if it is none.
@@ -64,24 +64,24 @@
 }
 
 // SetCaller records whether the host is among the callers.
-func (c *Cold) SetCaller(caller bool, now time.Time) {
+func (c *ColdLimiter) SetCaller(caller bool, now time.Time) {
 	switch {
 	case !caller:
-		*c = Cold{}
+		*c = ColdLimiter{}
 	case c.callerSince.IsZero():
 		c.callerSince = now
-		c.refilled = now.Add(ColdSettle)
+		c.refilled = now.Add(ColdCallerDelay)
 	}
 }
 
 // IsCaller reports whether the host is among the callers.
-func (c *Cold) IsCaller() bool { return !c.callerSince.IsZero() }
+func (c *ColdLimiter) IsCaller() bool { return !c.callerSince.IsZero() }
 
 // Take reports whether a request may be sent now, where tokens fill at rate per second.
 // If not, it returns the time after which to try again.
-func (c *Cold) Take(rate float64, now time.Time) (wait time.Duration, ok bool) {
+func (c *ColdLimiter) Take(rate float64, now time.Time) (wait time.Duration, ok bool) {
 	if c.callerSince.IsZero() || rate <= 0 {
-		return ColdSettle, false
+		return ColdCallerDelay, false
 	}
 	if now.Before(c.refilled) {
 		return c.refilled.Sub(now), false
--- a/limit/cold_test.go
+++ b/limit/cold_test.go
@@ -14,7 +14,7 @@
 // coldFleet is a set of hosts that call a cold server as often as they may.
 type coldFleet struct {
 	bound limit.ColdBound
-	hosts []*limit.Cold
+	hosts []*limit.ColdLimiter
 	sent  []time.Time
 }
 
@@ -57,11 +57,11 @@
 func TestColdServerGetsNoMoreThanItTakes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &coldFleet{bound: limit.ColdBound{
-			PerSecond: rapid.Float64Range(0.1, 200).Draw(rt, "per second"), Excess: rapid.Float64Range(1, 2).Draw(rt, "excess"),
+			PerSecond: rapid.Float64Range(0.1, 200).Draw(rt, "per second"), Factor: rapid.Float64Range(1, 2).Draw(rt, "excess"),
 			Slack: rapid.Float64Range(0, 20).Draw(rt, "slack"),
 		}}
 		for range rapid.SampledFrom([]int{1, 2, 3, 7, 60, 300, 1000}).Draw(rt, "hosts") {
-			f.hosts = append(f.hosts, &limit.Cold{})
+			f.hosts = append(f.hosts, &limit.ColdLimiter{})
 		}
 		now := time.Unix(1000, 0)
 		step := rapid.SampledFrom([]time.Duration{7 * time.Millisecond, 50 * time.Millisecond, 333 * time.Millisecond}).Draw(rt, "step")
@@ -71,18 +71,18 @@
 			switch rapid.IntRange(0, 2).Draw(rt, "event") {
 			case 0: // All hosts restart together.
 				for _, h := range f.hosts {
-					*h = limit.Cold{}
+					*h = limit.ColdLimiter{}
 				}
 				f.setCallers(0, now)
 			case 1: // Other hosts become the callers.
 				f.setCallers(rapid.IntRange(0, len(f.hosts)-1).Draw(rt, "from"), now)
 			case 2: // One host restarts.
-				*f.hosts[0] = limit.Cold{}
+				*f.hosts[0] = limit.ColdLimiter{}
 				f.setCallers(0, now)
 			}
 		}
 		f.saturate(now, 3*time.Second, step)
-		bound := f.bound.PerSecond*f.bound.Excess + f.bound.Slack
+		bound := f.bound.PerSecond*f.bound.Factor + f.bound.Slack
 		if got := f.maxInOneSecond(); float64(got) > bound {
 			rt.Fatalf("%d requests in one second exceed the bound of %v", got, bound)
 		}
@@ -92,11 +92,11 @@
 // The bound holds with 50% more callers than intended, as when hosts disagree on them.
 func TestColdBoundHoldsWhenHostsDisagree(t *testing.T) {
 	for _, perSecond := range []float64{1, 4, 10, 40} {
-		f := &coldFleet{bound: limit.ColdBound{PerSecond: perSecond, Excess: 1.5, Slack: 5}}
+		f := &coldFleet{bound: limit.ColdBound{PerSecond: perSecond, Factor: 1.5, Slack: 5}}
 		agreed := f.bound.Callers(60)
 		now := time.Unix(1000, 0)
 		for range agreed + agreed/2 {
-			h := &limit.Cold{}
+			h := &limit.ColdLimiter{}
 			h.SetCaller(true, now)
 			f.hosts = append(f.hosts, h)
 		}
@@ -114,14 +114,14 @@
 }
 
 func TestColdReturnsTheWaitForTheNextToken(t *testing.T) {
-	c := &limit.Cold{}
+	c := &limit.ColdLimiter{}
 	now := time.Unix(1000, 0)
 	wait, ok := c.Take(5, now)
 	assert.Assert(t, !ok && wait > 0, "a host that is no caller may not send")
 	c.SetCaller(true, now)
 	wait, ok = c.Take(5, now)
-	assert.Assert(t, !ok && wait == limit.ColdSettle)
-	now = now.Add(limit.ColdSettle)
+	assert.Assert(t, !ok && wait == limit.ColdCallerDelay)
+	now = now.Add(limit.ColdCallerDelay)
 	wait, ok = c.Take(5, now)
 	assert.Assert(t, !ok && wait == 200*time.Millisecond, "%v", wait)
 	_, ok = c.Take(5, now.Add(wait))
@@ -129,7 +129,7 @@
 }
 
 func BenchmarkCold(b *testing.B) {
-	c := &limit.Cold{}
+	c := &limit.ColdLimiter{}
 	now := time.Unix(1000, 0)
 	c.SetCaller(true, now)
 	b.ReportAllocs()
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -21,7 +21,7 @@
 		sums := make([]int, replicas)
 		for home := range homes {
 			total := 0
-			for r, share := range limit.Share(replicas, slots, homes, home) {
+			for r, share := range limit.Shares(replicas, slots, homes, home) {
 				sums[r] += share
 				total += share
 			}
@@ -41,7 +41,7 @@
 	s := limit.NewSlots(8)
 	now := time.Unix(100, 0)
 	assert.Equal(t, s.Limit(now), 8)
-	s.Restarted(now)
+	s.StartRampUp(now)
 	assert.Equal(t, s.Limit(now), 1)
 	assert.Equal(t, s.Limit(now.Add(time.Second)), 4)
 	assert.Equal(t, s.Limit(now.Add(2*time.Second)), 8)
@@ -58,10 +58,10 @@
 	assert.Equal(t, s.Limit(now.Add(limit.ShedPause)), 2)
 }
 
-func ExampleShare() {
+func ExampleShares() {
 	// Two replicas of four slots each, shared by three homes.
 	for home := range 3 {
-		fmt.Println(limit.Share(2, 4, 3, home))
+		fmt.Println(limit.Shares(2, 4, 3, home))
 	}
 	// Output:
 	// [2 1]
--- a/limit/share.go
+++ b/limit/share.go
@@ -1,11 +1,11 @@
 package limit
 
-// Share returns how many slots of each replica of one shard belong to the home with the
+// Shares returns how many slots of each replica of one shard belong to the home with the
 // given index out of homes. slots is the capacity of one replica. The slots of all
 // replicas are dealt out round-robin, so every home gets at least one slot of the shard
 // while homes is at most replicas times slots. The shares are all 0 for an index out of
 // range.
-func Share(replicas, slots, homes, index int) []int {
+func Shares(replicas, slots, homes, index int) []int {
 	shares := make([]int, replicas)
 	if replicas == 0 || homes <= 0 || index < 0 || index >= homes {
 		return shares
--- a/limit/slots.go
+++ b/limit/slots.go
@@ -72,5 +72,5 @@
 	s.inUseAtShed = s.inUse
 }
 
-// Restarted records that the server started at about now, which begins its ramp-up.
-func (s *Slots) Restarted(now time.Time) { s.rampStart = now }
+// StartRampUp records that the server started at about now, which begins its ramp-up.
+func (s *Slots) StartRampUp(now time.Time) { s.rampStart = now }
--- a/member/table.go
+++ b/member/table.go
@@ -24,9 +24,9 @@
 
 // Settings configures a Table.
 type Settings struct {
-	// Suspicion is the time a suspect member has to refute before it is
+	// SuspicionTimeout is the time a suspect member has to refute before it is
 	// declared dead.
-	Suspicion time.Duration
+	SuspicionTimeout time.Duration
 }
 
 type record struct {
@@ -144,9 +144,9 @@
 	return dead[t.rng.IntN(len(dead))], true
 }
 
-// Adopt adds the facts of another host's table when this host joins. Facts about
+// LoadFacts adds the facts of another host's table when this host joins. Facts about
 // members not yet in the table are not broadcast, as other hosts have them.
-func (t *Table) Adopt(facts []Fact, now time.Time) {
+func (t *Table) LoadFacts(facts []Fact, now time.Time) {
 	for _, f := range facts {
 		if f.Host != t.self.Host && t.records[f.Host] == nil {
 			t.records[f.Host] = &record{fact: f, stateSince: now}
@@ -240,9 +240,9 @@
 	t.cachedMembers = nil
 }
 
-// Failed records that a member did not answer a probe. An alive member becomes
+// ProbeFailed records that a member did not answer a probe. An alive member becomes
 // suspect; a leaving one is considered to have left and becomes dead.
-func (t *Table) Failed(host string, now time.Time) {
+func (t *Table) ProbeFailed(host string, now time.Time) {
 	r := t.records[host]
 	if r == nil {
 		return
@@ -267,7 +267,7 @@
 	}
 	var confirmed []Fact
 	for host, r := range t.records {
-		if r.fact.State == Suspect && now.Sub(r.stateSince) >= t.settings.Suspicion {
+		if r.fact.State == Suspect && now.Sub(r.stateSince) >= t.settings.SuspicionTimeout {
 			claim := r.fact
 			claim.State = Dead
 			t.merge(claim, now)
@@ -287,9 +287,9 @@
 	t.broadcastSelf()
 }
 
-// Facts returns the updates to piggyback on the next message. If more are
+// PendingFacts returns the updates to piggyback on the next message. If more are
 // pending than fit, those sent least often take precedence.
-func (t *Table) Facts() []Fact {
+func (t *Table) PendingFacts() []Fact {
 	limit := retransmitFactor * bits.Len(uint(len(t.records)+1))
 	n := min(len(t.broadcasts), maxFacts)
 	if len(t.broadcasts) > maxFacts {
@@ -310,9 +310,9 @@
 	return facts
 }
 
-// Suspicion returns the fact about a host if it is considered suspect or dead.
+// ClaimAgainst returns the fact about a host if it is considered suspect or dead.
 // The probe of that host carries it, so that the host can refute it.
-func (t *Table) Suspicion(host string) (Fact, bool) {
+func (t *Table) ClaimAgainst(host string) (Fact, bool) {
 	r := t.records[host]
 	if r == nil || r.fact.State == Alive || r.fact.State == Leaving {
 		return Fact{}, false
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -19,7 +19,7 @@
 }
 
 func table(i int) *member.Table {
-	return member.NewTable(fact(i), member.Settings{Suspicion: 2 * time.Second}, rand.New(rand.NewPCG(uint64(i), 1)))
+	return member.NewTable(fact(i), member.Settings{SuspicionTimeout: 2 * time.Second}, rand.New(rand.NewPCG(uint64(i), 1)))
 }
 
 func stateOf(t *member.Table, host string) string {
@@ -34,7 +34,7 @@
 func TestSilentMemberIsSuspectThenDead(t *testing.T) {
 	a := table(0)
 	a.Merge([]member.Fact{fact(1)}, start)
-	a.Failed("host-1", start)
+	a.ProbeFailed("host-1", start)
 	assert.Equal(t, stateOf(a, "host-1"), "suspect")
 	assert.Equal(t, len(a.Tick(start.Add(time.Second))), 0)
 	assert.Equal(t, len(a.Tick(start.Add(2*time.Second))), 1)
@@ -54,7 +54,7 @@
 	a.Merge([]member.Fact{claim}, start)
 	assert.Equal(t, a.Self().State, member.Alive)
 	assert.Assert(t, a.Self().Incarnation > claim.Incarnation)
-	assert.Assert(t, len(a.Facts()) > 0, "the refutation must be broadcast")
+	assert.Assert(t, len(a.PendingFacts()) > 0, "the refutation must be broadcast")
 }
 
 func TestLeavingMemberIsDeadAfterFailedProbe(t *testing.T) {
@@ -62,7 +62,7 @@
 	leaving := fact(1)
 	leaving.State = member.Leaving
 	a.Merge([]member.Fact{leaving}, start)
-	a.Failed("host-1", start)
+	a.ProbeFailed("host-1", start)
 	assert.Equal(t, stateOf(a, "host-1"), "dead")
 }
 
@@ -112,10 +112,10 @@
 func TestAdoptedFactsAreNotPassedOn(t *testing.T) {
 	a := table(0)
 	for range 100 {
-		a.Facts()
+		a.PendingFacts()
 	}
-	a.Adopt([]member.Fact{fact(1), fact(2)}, start)
-	assert.Equal(t, len(a.Facts()), 0)
+	a.LoadFacts([]member.Fact{fact(1), fact(2)}, start)
+	assert.Equal(t, len(a.PendingFacts()), 0)
 	assert.Equal(t, len(a.Members()), 3)
 }
 
@@ -130,9 +130,9 @@
 
 func ExampleTable() {
 	now := time.Unix(0, 0)
-	t := member.NewTable(member.Fact{Host: "a"}, member.Settings{Suspicion: time.Second}, rand.New(rand.NewPCG(1, 1)))
+	t := member.NewTable(member.Fact{Host: "a"}, member.Settings{SuspicionTimeout: time.Second}, rand.New(rand.NewPCG(1, 1)))
 	t.Merge([]member.Fact{{Host: "b", Incarnation: 1}}, now)
-	t.Failed("b", now)
+	t.ProbeFailed("b", now)
 	for _, dead := range t.Tick(now.Add(time.Second)) {
 		fmt.Println(dead.Host, "is", dead.State)
 	}
@@ -143,13 +143,13 @@
 	for _, n := range []int{7, 70, 700, 4300} {
 		t := table(0)
 		for i := 1; i < n; i++ {
-			t.Adopt([]member.Fact{fact(i)}, start)
+			t.LoadFacts([]member.Fact{fact(i)}, start)
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				t.Probe()
-				t.Facts()
+				t.PendingFacts()
 				t.Tick(start)
 			}
 		})
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -21,15 +21,15 @@
 type Decision int
 
 const (
-	// Run permits the only execution of the request.
-	Run Decision = iota
+	// Execute permits the only execution of the request.
+	Execute Decision = iota
 	// Replay means that the request was executed and its outcome is returned.
 	Replay
 	// InProgress means that the request is being executed.
 	InProgress
-	// Used means that the execution was permitted before and its outcome is no
+	// OutcomeExpired means that the execution was permitted before and its outcome is no
 	// longer kept.
-	Used
+	OutcomeExpired
 	// OtherRequest means that the ticket is bound to another request; this one was
 	// not run.
 	OtherRequest
@@ -157,11 +157,11 @@
 		return l.duplicate(e, request, Replay)
 	}
 	if l.isRedeemed(t.Sequence) {
-		return Used, nil, nil
+		return OutcomeExpired, nil, nil
 	}
 	l.setRedeemed(t.Sequence)
 	l.running[t.Sequence] = &execution{request: request, done: make(chan struct{})}
-	return Run, nil, nil
+	return Execute, nil, nil
 }
 
 func (l *Ledger) duplicate(e *execution, request string, decision Decision) (Decision, []byte, <-chan struct{}) {
--- a/once/ledger_test.go
+++ b/once/ledger_test.go
@@ -24,7 +24,7 @@
 func TestRedeemOnce(t *testing.T) {
 	l := once.NewLedger("a", 1)
 	ticket := decode(t, l.Mint("desk", "tags", "r"))
-	assert.Equal(t, redeem(l, ticket, "r"), once.Run)
+	assert.Equal(t, redeem(l, ticket, "r"), once.Execute)
 	assert.Equal(t, redeem(l, ticket, "r"), once.InProgress)
 	assert.Equal(t, redeem(l, ticket, "other"), once.OtherRequest)
 	l.Finish(ticket, []byte("done"))
@@ -37,14 +37,14 @@
 func TestRedeemWithoutKeptOutcomeIsUsed(t *testing.T) {
 	l := once.NewLedger("a", 1)
 	first := decode(t, l.Mint("desk", "tags", "r"))
-	assert.Equal(t, redeem(l, first, "r"), once.Run)
+	assert.Equal(t, redeem(l, first, "r"), once.Execute)
 	l.Finish(first, nil)
 	for i := range 5000 {
 		ticket := decode(t, l.Mint("desk", "tags", fmt.Sprint(i)))
-		assert.Equal(t, redeem(l, ticket, fmt.Sprint(i)), once.Run)
+		assert.Equal(t, redeem(l, ticket, fmt.Sprint(i)), once.Execute)
 		l.Finish(ticket, nil)
 	}
-	assert.Equal(t, redeem(l, first, "r"), once.Used)
+	assert.Equal(t, redeem(l, first, "r"), once.OutcomeExpired)
 }
 
 func TestForeignAndForgedTicketsAreRejected(t *testing.T) {
@@ -67,7 +67,7 @@
 	first := decode(t, l.Mint("desk", "tags", "r"))
 	assert.Equal(t, decode(t, l.Mint("desk", "tags", "r")).Sequence, first.Sequence)
 	assert.Assert(t, !l.Redeemed("desk", "tags", "r"))
-	assert.Equal(t, redeem(l, first, "r"), once.Run)
+	assert.Equal(t, redeem(l, first, "r"), once.Execute)
 	assert.Assert(t, l.Redeemed("desk", "tags", "r"))
 	renewed := decode(t, l.Renew("desk", "tags", "r"))
 	assert.Assert(t, renewed.Sequence != first.Sequence)
@@ -80,7 +80,7 @@
 	ticket, _ := once.Decode(ledger.Mint("printer-1", "tags", "tag 17"))
 	for range 2 {
 		decision, _, _ := ledger.Redeem(ticket, "printer-1", "tags", "tag 17")
-		fmt.Println("run it:", decision == once.Run)
+		fmt.Println("run it:", decision == once.Execute)
 	}
 	// Output:
 	// run it: true
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -28,9 +28,9 @@
 	verdictTimeout = 500 * time.Millisecond
 	// barTTL is how long a request stays barred.
 	barTTL = 24 * time.Hour
-	// MaxCases bounds the number of requests in a Book. Each takes a few kilobytes of memory,
+	// MaxRequests bounds the number of requests in a Book. Each takes a few kilobytes of memory,
 	// and a key in the store for each host that reported it.
-	MaxCases = 512
+	MaxRequests = 512
 )
 
 // Book holds the records of all hosts about requests during which servers crashed. It is not safe
@@ -53,22 +53,22 @@
 // Len returns the number of requests in the book.
 func (b *Book) Len() int { return len(b.histories) }
 
-// Note adds what this host observed in one attempt to its record of a request, and returns the
+// AddLocal adds what this host observed in one attempt to its record of a request, and returns the
 // merged record.
-func (b *Book) Note(f Fingerprint, seen Record, now time.Time) Record {
+func (b *Book) AddLocal(f Fingerprint, seen Record, now time.Time) Record {
 	r := b.historyOf(f, now).records[b.self]
 	r.Servers, r.Trials, r.Versions = slices.Clone(r.Servers), slices.Clone(r.Trials), slices.Clone(r.Versions)
 	r.add(seen)
 	r.Served = false
-	b.Learn(f, b.self, r, now)
+	b.ApplyRecord(f, b.self, r, now)
 	return r
 }
 
-// Learn replaces the record of a host. The stored record of this host itself is ignored if it is
+// ApplyRecord replaces the record of a host. The stored record of this host itself is ignored if it is
 // older than the one in the book.
-func (b *Book) Learn(f Fingerprint, host string, r Record, now time.Time) {
+func (b *Book) ApplyRecord(f Fingerprint, host string, r Record, now time.Time) {
 	h := b.historyOf(f, now)
-	if host == b.self && r.Ended < h.records[host].Ended {
+	if host == b.self && r.Crashes < h.records[host].Crashes {
 		return
 	}
 	h.records[host] = r.truncated()
@@ -79,22 +79,22 @@
 	b.recompute(f, now)
 }
 
-// VerdictBy returns the time until which another query may have a suspect on trial. A concurrent
+// TrialDeadline returns the time until which another query may have a suspect on trial. A concurrent
 // trial would give no earlier result and might crash another server.
-func (b *Book) VerdictBy(f Fingerprint) time.Time {
+func (b *Book) TrialDeadline(f Fingerprint) time.Time {
 	if h := b.histories[f]; h != nil {
 		return h.lastReport.Add(verdictTimeout)
 	}
 	return time.Time{}
 }
 
-// LearnClaim records that a trial was claimed.
-func (b *Book) LearnClaim(n Name, now time.Time) {
+// ApplyClaim records that a trial was claimed.
+func (b *Book) ApplyClaim(n RecordKey, now time.Time) {
 	b.historyOf(n.Fingerprint, now).claims[n.Claim] = true
 }
 
-// Forget removes the record of a host, or a claim, that was deleted from the store.
-func (b *Book) Forget(n Name, now time.Time) {
+// RemoveRecord removes the record of a host, or a claim, that was deleted from the store.
+func (b *Book) RemoveRecord(n RecordKey, now time.Time) {
 	f := n.Fingerprint
 	h := b.histories[f]
 	if h == nil {
@@ -129,7 +129,7 @@
 func storeNames(f Fingerprint, h *history) []string {
 	var all []string
 	for host := range h.records {
-		all = append(all, RecordName(f, host))
+		all = append(all, RecordKeyFor(f, host))
 	}
 	for claim := range h.claims {
 		all = append(all, claimName(f, claim))
@@ -143,7 +143,7 @@
 func (b *Book) historyOf(f Fingerprint, now time.Time) *history {
 	h := b.histories[f]
 	if h == nil {
-		if len(b.histories) >= MaxCases {
+		if len(b.histories) >= MaxRequests {
 			b.remove(b.evictionCandidate())
 		}
 		h = &history{records: map[string]Record{}, claims: map[string]bool{}, firstSeen: now}
@@ -199,9 +199,9 @@
 	return "", false
 }
 
-// Expired removes expired requests and returns the names of their records and claims. It also
+// RemoveExpired removes expired requests and returns the names of their records and claims. It also
 // updates the standing of requests whose servedGrace has passed.
-func (b *Book) Expired(now time.Time) []string {
+func (b *Book) RemoveExpired(now time.Time) []string {
 	var expired []string
 	for f, h := range b.histories {
 		if !h.servedAt.IsZero() && now.Sub(h.servedAt) < servedGrace {
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -7,7 +7,7 @@
 // request. A request is on trial when it is sent to one server alone.
 //
 // Invariants:
-//   - A request is barred only after LeastEnds servers crashed while running it, LeastTrials of
+//   - A request is barred only after MinCrashes servers crashed while running it, MinTrialCrashes of
 //     them on trial after earlier crashes. The loss of a failure domain ends servers under many
 //     unrelated requests, but these are served on trial.
 //   - The end of one process is attributed to only one of the requests that it ran.
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -23,10 +23,10 @@
 	Body   []byte
 }
 
-// Of returns the fingerprint of a request: the first half of a SHA-256 hash, so that collisions
+// FingerprintOf returns the fingerprint of a request: the first half of a SHA-256 hash, so that collisions
 // cannot be constructed. Hashing a large body is expensive (see BenchmarkOf), so callers do it only
 // while some request is suspect or barred, or after a crash.
-func Of(c Content) Fingerprint {
+func FingerprintOf(c Content) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range [][]byte{[]byte(c.Method), []byte(c.Host), []byte(c.Target), []byte(c.Caller), c.Body} {
@@ -40,8 +40,8 @@
 // String returns the fingerprint as hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse parses the output of String.
-func Parse(text string) (Fingerprint, error) {
+// ParseFingerprint parses the output of String.
+func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(f) {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -21,15 +21,15 @@
 	}
 	seen := map[Fingerprint]bool{}
 	for _, c := range contents {
-		f := Of(c)
+		f := FingerprintOf(c)
 		assert.Assert(t, !seen[f], "%+v", c)
 		seen[f] = true
-		parsed, err := Parse(f.String())
+		parsed, err := ParseFingerprint(f.String())
 		assert.NilError(t, err)
 		assert.Equal(t, parsed, f)
 	}
-	assert.Equal(t, Of(contents[0]), Of(contents[0]))
-	_, err := Parse("xyz")
+	assert.Equal(t, FingerprintOf(contents[0]), FingerprintOf(contents[0]))
+	_, err := ParseFingerprint("xyz")
 	assert.ErrorContains(t, err, "no fingerprint")
 }
 
@@ -38,7 +38,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			c := Content{Method: "POST", Host: "desk.example", Target: "/q/" + strings.Repeat("x", 40), Body: make([]byte, size)}
 			for b.Loop() {
-				_ = Of(c)
+				_ = FingerprintOf(c)
 			}
 		})
 	}
@@ -48,7 +48,7 @@
 
 // crashRecord returns a record of crashes of the servers, all on trial or none.
 func crashRecord(trial bool, servers ...string) Record {
-	r := Record{Servers: servers, Ended: len(servers), Versions: []string{"1"}, What: "GET /x"}
+	r := Record{Servers: servers, Crashes: len(servers), Versions: []string{"1"}, Description: "GET /x"}
 	if trial {
 		r.Trials = servers
 	}
@@ -57,41 +57,41 @@
 
 // A request is barred after three crashes, two of them on trial, whichever hosts saw them.
 func TestStanding(t *testing.T) {
-	f := Of(Content{Target: "/x"})
+	f := FingerprintOf(Content{Target: "/x"})
 	b := NewBook("h1")
 	assert.Equal(t, b.Standing(f), Clear)
-	b.Note(f, crashRecord(false, "a", "b", "c", "d"), start)
+	b.AddLocal(f, crashRecord(false, "a", "b", "c", "d"), start)
 	assert.Equal(t, b.Standing(f), Suspect)
-	b.Learn(f, "h2", crashRecord(true, "a"), start)
+	b.ApplyRecord(f, "h2", crashRecord(true, "a"), start)
 	assert.Equal(t, b.Standing(f), Suspect, "one trial")
-	b.Learn(f, "h3", crashRecord(true, "b"), start)
+	b.ApplyRecord(f, "h3", crashRecord(true, "b"), start)
 	assert.Equal(t, b.Standing(f), Barred)
 
-	g := Of(Content{Target: "/y"})
-	b.Learn(g, "h2", crashRecord(false, "x"), start)
-	b.Learn(g, "h3", crashRecord(true, "y"), start)
+	g := FingerprintOf(Content{Target: "/y"})
+	b.ApplyRecord(g, "h2", crashRecord(false, "x"), start)
+	b.ApplyRecord(g, "h3", crashRecord(true, "y"), start)
 	assert.Equal(t, b.Standing(g), Suspect, "two servers")
-	b.Note(g, crashRecord(true, "y"), start)
+	b.AddLocal(g, crashRecord(true, "y"), start)
 	assert.Equal(t, b.Standing(g), Suspect, "the same server, seen by two hosts")
-	record := b.Note(g, crashRecord(true, "z"), start)
+	record := b.AddLocal(g, crashRecord(true, "z"), start)
 	assert.Equal(t, b.Standing(g), Barred)
 	assert.DeepEqual(t, record.Servers, []string{"y", "z"})
 	assert.Equal(t, b.Summaries()[0].Standing, Barred)
 
 	own, obsolete, known := b.Clear(g, start)
 	assert.Assert(t, known && own.Served)
-	assert.DeepEqual(t, obsolete, []string{RecordName(g, "h2"), RecordName(g, "h3")})
+	assert.DeepEqual(t, obsolete, []string{RecordKeyFor(g, "h2"), RecordKeyFor(g, "h3")})
 	assert.Equal(t, b.Standing(g), Clear)
-	b.Note(g, crashRecord(true, "u", "v", "w"), start)
+	b.AddLocal(g, crashRecord(true, "u", "v", "w"), start)
 	assert.Equal(t, b.Standing(g), Suspect, "served within the grace period")
-	b.Expired(start.Add(servedGrace))
+	b.RemoveExpired(start.Add(servedGrace))
 	assert.Equal(t, b.Standing(g), Barred)
-	b.Learn(g, "h4", Record{Served: true}, start)
+	b.ApplyRecord(g, "h4", Record{Served: true}, start)
 	assert.Equal(t, b.Standing(g), Suspect, "served by another host")
 	b.Clear(g, start)
-	assert.DeepEqual(t, b.Expired(start.Add(servedGrace)), []string{RecordName(g, "h1")})
+	assert.DeepEqual(t, b.RemoveExpired(start.Add(servedGrace)), []string{RecordKeyFor(g, "h1")})
 	for _, host := range []string{"h1", "h2", "h3"} {
-		b.Forget(Name{Fingerprint: f, Host: host}, start)
+		b.RemoveRecord(RecordKey{Fingerprint: f, Host: host}, start)
 	}
 	assert.Equal(t, b.Len(), 0)
 }
@@ -99,17 +99,17 @@
 // A barred request gets two trials, each after a longer probation, and one when all servers run new
 // versions.
 func TestTrialsAreBounded(t *testing.T) {
-	f := Of(Content{Target: "/x"})
+	f := FingerprintOf(Content{Target: "/x"})
 	b := NewBook("h1")
-	b.Note(f, crashRecord(true, "a", "b", "c"), start)
+	b.AddLocal(f, crashRecord(true, "a", "b", "c"), start)
 	claim := func(after time.Duration, versions ...string) string {
 		name, due := b.DueTrial(f, versions, start.Add(after))
 		if !due {
 			return ""
 		}
-		n, err := ParseName(name)
+		n, err := ParseRecordKey(name)
 		assert.NilError(t, err)
-		b.LearnClaim(n, start.Add(after))
+		b.ApplyClaim(n, start.Add(after))
 		return n.Claim
 	}
 	assert.Equal(t, claim(FirstProbation-1, "1"), "")
@@ -123,13 +123,13 @@
 }
 
 func TestRecordsExpire(t *testing.T) {
-	f, g := Of(Content{Target: "/x"}), Of(Content{Target: "/y"})
+	f, g := FingerprintOf(Content{Target: "/x"}), FingerprintOf(Content{Target: "/y"})
 	b := NewBook("h1")
-	b.Note(f, crashRecord(true, "a", "b", "c"), start)
-	b.Note(g, crashRecord(true, "a"), start)
-	assert.Equal(t, len(b.Expired(start.Add(suspicionTTL-1))), 0)
-	assert.DeepEqual(t, b.Expired(start.Add(suspicionTTL)), []string{RecordName(g, "h1")})
-	assert.DeepEqual(t, b.Expired(start.Add(barTTL)), []string{RecordName(f, "h1")})
+	b.AddLocal(f, crashRecord(true, "a", "b", "c"), start)
+	b.AddLocal(g, crashRecord(true, "a"), start)
+	assert.Equal(t, len(b.RemoveExpired(start.Add(suspicionTTL-1))), 0)
+	assert.DeepEqual(t, b.RemoveExpired(start.Add(suspicionTTL)), []string{RecordKeyFor(g, "h1")})
+	assert.DeepEqual(t, b.RemoveExpired(start.Add(barTTL)), []string{RecordKeyFor(f, "h1")})
 	assert.Equal(t, b.Len(), 0)
 }
 
@@ -137,23 +137,23 @@
 // there are others.
 func TestBookIsBounded(t *testing.T) {
 	b := NewBook("h1")
-	barred := Of(Content{Target: "/x"})
-	b.Note(barred, crashRecord(true, "a", "b", "c"), start)
-	for i := range 3 * MaxCases {
-		r := b.Note(Of(Content{Target: fmt.Sprint("/", i)}), crashRecord(false, strings.Split("a b c d e f g h i j k l m n", " ")...), start.Add(time.Duration(i+1)))
-		assert.Equal(t, len(r.Servers), MaxNamed)
+	barred := FingerprintOf(Content{Target: "/x"})
+	b.AddLocal(barred, crashRecord(true, "a", "b", "c"), start)
+	for i := range 3 * MaxRequests {
+		r := b.AddLocal(FingerprintOf(Content{Target: fmt.Sprint("/", i)}), crashRecord(false, strings.Split("a b c d e f g h i j k l m n", " ")...), start.Add(time.Duration(i+1)))
+		assert.Equal(t, len(r.Servers), MaxListed)
 	}
-	assert.Equal(t, b.Len(), MaxCases)
+	assert.Equal(t, b.Len(), MaxRequests)
 	assert.Equal(t, b.Standing(barred), Barred)
 }
 
 func TestParseName(t *testing.T) {
-	f := Of(Content{Target: "/x"})
-	n, err := ParseName(RecordName(f, "h1"))
+	f := FingerprintOf(Content{Target: "/x"})
+	n, err := ParseRecordKey(RecordKeyFor(f, "h1"))
 	assert.NilError(t, err)
-	assert.Equal(t, n, Name{Fingerprint: f, Host: "h1"})
+	assert.Equal(t, n, RecordKey{Fingerprint: f, Host: "h1"})
 	for _, bad := range []string{"", "x", f.String(), f.String() + "/host/", f.String() + "/h1", "zz/host/h1"} {
-		_, err := ParseName(bad)
+		_, err := ParseRecordKey(bad)
 		assert.Assert(t, err != nil, bad)
 	}
 }
@@ -164,21 +164,21 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	var s Suspicion
 	assert.Assert(t, !s.OnTrial())
-	cancel, report := s.Ended(End{Server: "a", Version: "1"}, at(0))
+	cancel, report := s.Crashed(Crash{Server: "a", Version: "1"}, at(0))
 	assert.Assert(t, !cancel && !report && s.OnTrial())
-	cancel, _ = s.Ended(End{Server: "b", Version: "1"}, at(1))
+	cancel, _ = s.Crashed(Crash{Server: "b", Version: "1"}, at(1))
 	assert.Assert(t, cancel, "two crashes and no reply")
-	cancel, _ = s.Ended(End{Server: "c"}, at(2))
+	cancel, _ = s.Crashed(Crash{Server: "c"}, at(2))
 	assert.Assert(t, !cancel, "cancelled before")
-	_, report = s.Ended(End{Server: "d", OnTrial: true}, at(5))
+	_, report = s.Crashed(Crash{Server: "d", OnTrial: true}, at(5))
 	assert.Assert(t, !report, "it may have been lost together with the others")
-	assert.Equal(t, s.TrialFrom(), at(2).Add(trialQuietPeriod))
-	_, report = s.Ended(End{Server: "e", OnTrial: true}, at(40))
+	assert.Equal(t, s.NextTrial(), at(2).Add(trialQuietPeriod))
+	_, report = s.Crashed(Crash{Server: "e", OnTrial: true}, at(40))
 	assert.Assert(t, report)
-	record, ok := s.Tell()
+	record, ok := s.TakeReport()
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, record, Record{Servers: []string{"a", "b", "c", "d", "e"}, Ended: 5, Trials: []string{"e"}, Versions: []string{"1"}, At: at(40).UnixMilli()})
-	_, ok = s.Tell()
+	assert.DeepEqual(t, record, Record{Servers: []string{"a", "b", "c", "d", "e"}, Crashes: 5, Trials: []string{"e"}, Versions: []string{"1"}, LastCrash: at(40).UnixMilli()})
+	_, ok = s.TakeReport()
 	assert.Assert(t, !ok, "reported only once")
 	assert.Assert(t, s.OnTrial(), "it remains suspected")
 }
@@ -189,14 +189,14 @@
 	var s Suspicion
 	s.Suspect(time.Time{})
 	assert.Assert(t, s.OnTrial())
-	s.Ended(End{Server: "a"}, start)
+	s.Crashed(Crash{Server: "a"}, start)
 	assert.Assert(t, s.Served() && !s.Served(), "only the first reply clears")
 	assert.Assert(t, !s.OnTrial())
-	s.Ended(End{Server: "b"}, start)
-	s.Ended(End{Server: "c"}, start)
-	_, ok := s.Tell()
+	s.Crashed(Crash{Server: "b"}, start)
+	s.Crashed(Crash{Server: "c"}, start)
+	_, ok := s.TakeReport()
 	assert.Assert(t, !ok, "two replies and two crashes")
-	cancel, _ := s.Ended(End{Server: "d"}, start)
+	cancel, _ := s.Crashed(Crash{Server: "d"}, start)
 	assert.Assert(t, s.OnTrial() && !cancel)
 }
 
@@ -212,17 +212,17 @@
 				s.Served()
 			case 1:
 				ended++
-				s.Ended(End{Server: fmt.Sprint(i)}, now)
+				s.Crashed(Crash{Server: fmt.Sprint(i)}, now)
 			case 2:
 				ended++
 				trials++
-				s.Ended(End{Server: fmt.Sprint(i), OnTrial: true}, now)
+				s.Crashed(Crash{Server: fmt.Sprint(i), OnTrial: true}, now)
 			case 3:
-				r, ok := s.Tell()
-				reported += r.Ended
-				assert.Assert(t, ok || r.Ended == 0)
+				r, ok := s.TakeReport()
+				reported += r.Crashes
+				assert.Assert(t, ok || r.Crashes == 0)
 				assert.Assert(t, len(r.Trials) <= trials)
-				assert.Assert(t, len(r.Servers) <= min(r.Ended, MaxNamed))
+				assert.Assert(t, len(r.Servers) <= min(r.Crashes, MaxListed))
 			}
 			assert.Assert(t, reported <= ended)
 		}
@@ -231,16 +231,16 @@
 
 // A broken call counts once, if the crash of its server becomes known before the call expires.
 func TestWitnesses(t *testing.T) {
-	w := NewWitnesses()
+	w := NewBrokenCalls()
 	broke := func(server string, at time.Time) {
-		w.Broke(BrokenCall{Fingerprint: Of(Content{Target: "/x"}), End: End{Server: server}, At: at})
+		w.Add(BrokenCall{Fingerprint: FingerprintOf(Content{Target: "/x"}), Crash: Crash{Server: server}, At: at})
 	}
 	broke("a#1", start)
 	broke("b#1", start)
-	assert.Equal(t, len(w.Ended("c#1", start)), 0)
-	assert.Equal(t, len(w.Ended("a#1", start.Add(brokenCallTTL-1))), 1)
-	assert.Equal(t, len(w.Ended("a#1", start.Add(brokenCallTTL-1))), 0)
-	assert.Equal(t, len(w.Ended("b#1", start.Add(brokenCallTTL))), 0, "too late")
+	assert.Equal(t, len(w.Take("c#1", start)), 0)
+	assert.Equal(t, len(w.Take("a#1", start.Add(brokenCallTTL-1))), 1)
+	assert.Equal(t, len(w.Take("a#1", start.Add(brokenCallTTL-1))), 0)
+	assert.Equal(t, len(w.Take("b#1", start.Add(brokenCallTTL))), 0, "too late")
 	for i := range 2 * maxBrokenCalls {
 		broke(fmt.Sprint(i), start)
 	}
@@ -252,19 +252,19 @@
 // Crashes that two requests saw on trial at the same servers are attributed to the one with more
 // crashes, so that the other one is not barred.
 func TestCrashIsAttributedToOneRequest(t *testing.T) {
-	poison, popular := Of(Content{Target: "/poison"}), Of(Content{Target: "/popular"})
+	poison, popular := FingerprintOf(Content{Target: "/poison"}), FingerprintOf(Content{Target: "/popular"})
 	b := NewBook("h1")
-	b.Note(popular, Record{Servers: []string{"a", "b", "c", "d"}, Trials: []string{"c", "d"}, Ended: 4}, start)
+	b.AddLocal(popular, Record{Servers: []string{"a", "b", "c", "d"}, Trials: []string{"c", "d"}, Crashes: 4}, start)
 	assert.Equal(t, b.Standing(popular), Barred, "no other request saw the crashes")
-	b.Learn(poison, "h2", Record{Servers: []string{"a", "b", "e", "c", "d"}, Trials: []string{"c", "d"}, Ended: 5}, start)
+	b.ApplyRecord(poison, "h2", Record{Servers: []string{"a", "b", "e", "c", "d"}, Trials: []string{"c", "d"}, Crashes: 5}, start)
 	assert.Equal(t, b.Standing(poison), Barred)
 	assert.Equal(t, b.Standing(popular), Suspect)
 	_, due := b.DueTrial(poison, nil, start)
 	assert.Assert(t, !due)
-	b.Learn(popular, "h3", Record{Servers: []string{"f", "g", "h"}, Trials: []string{"g", "h"}, Ended: 3}, start)
+	b.ApplyRecord(popular, "h3", Record{Servers: []string{"f", "g", "h"}, Trials: []string{"g", "h"}, Crashes: 3}, start)
 	assert.Equal(t, b.Standing(popular), Barred, "three crashes that the other did not see")
 	assert.Equal(t, b.Standing(poison), Suspect, "the other one has more crashes now")
-	b.Note(poison, Record{Servers: []string{"i", "j", "k"}, Trials: []string{"j", "k"}, Ended: 9}, start)
+	b.AddLocal(poison, Record{Servers: []string{"i", "j", "k"}, Trials: []string{"j", "k"}, Crashes: 9}, start)
 	assert.Equal(t, b.Standing(poison), Barred)
 	assert.Equal(t, b.Standing(popular), Barred)
 }
@@ -272,30 +272,30 @@
 // A stored record of this host that is stale is ignored, and one of another host that exceeds the
 // bounds is truncated.
 func TestStoredRecordsAreValidated(t *testing.T) {
-	f := Of(Content{Target: "/x"})
+	f := FingerprintOf(Content{Target: "/x"})
 	b := NewBook("h1")
-	b.Note(f, crashRecord(true, "a"), start)
-	b.Note(f, crashRecord(true, "b", "c"), start)
-	b.Learn(f, "h1", crashRecord(true, "a"), start)
+	b.AddLocal(f, crashRecord(true, "a"), start)
+	b.AddLocal(f, crashRecord(true, "b", "c"), start)
+	b.ApplyRecord(f, "h1", crashRecord(true, "a"), start)
 	assert.Equal(t, b.Standing(f), Barred)
 	long := crashRecord(true, strings.Split(strings.Repeat("x y z ", 100), " ")...)
 	for i := range long.Servers {
 		long.Servers[i] += fmt.Sprint(i)
 	}
-	long.What = strings.Repeat("w", 1000)
-	b.Learn(f, "h2", long, start)
+	long.Description = strings.Repeat("w", 1000)
+	b.ApplyRecord(f, "h2", long, start)
 	s := b.Summary(f)
-	assert.Assert(t, len(s.Servers) <= 3+MaxNamed)
-	assert.Assert(t, len(s.What) <= MaxWhat)
+	assert.Assert(t, len(s.Servers) <= 3+MaxListed)
+	assert.Assert(t, len(s.Description) <= MaxDescription)
 }
 
 // BenchmarkStandingOfBarred uses a full book of barred requests that share no server.
 func BenchmarkStandingOfBarred(b *testing.B) {
 	book := NewBook("h1")
 	var last Fingerprint
-	for i := range MaxCases {
-		last = Of(Content{Target: fmt.Sprint(i)})
-		book.Note(last, crashRecord(true, fmt.Sprint("a", i), fmt.Sprint("b", i), fmt.Sprint("c", i)), start)
+	for i := range MaxRequests {
+		last = FingerprintOf(Content{Target: fmt.Sprint(i)})
+		book.AddLocal(last, crashRecord(true, fmt.Sprint("a", i), fmt.Sprint("b", i), fmt.Sprint("c", i)), start)
 	}
 	for b.Loop() {
 		assert.Equal(b, book.Standing(last), Barred)
--- a/quarantine/standing.go
+++ b/quarantine/standing.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// LeastEnds is the number of servers that must crash under a request before it is
+	// MinCrashes is the number of servers that must crash under a request before it is
 	// barred, which is the number that users accept.
-	LeastEnds = 3
-	// LeastTrials is the number of those servers that must crash on trial. One is not enough:
+	MinCrashes = 3
+	// MinTrialCrashes is the number of those servers that must crash on trial. One is not enough:
 	// two requests that lost the same servers may go on trial at the same server at the same
 	// time.
-	LeastTrials = 2
+	MinTrialCrashes = 2
 )
 
 // Standing tells how a request is to be treated.
@@ -44,21 +44,21 @@
 type Summary struct {
 	Fingerprint Fingerprint
 	Standing    Standing
-	// Ended is the sum of the crashes that the hosts saw. A crash that several hosts saw counts
+	// Crashes is the sum of the crashes that the hosts saw. A crash that several hosts saw counts
 	// once for each.
-	Ended int
+	Crashes int
 	// Hosts are the hosts that have a record of the request.
 	Hosts   []string
 	Servers []string
 	// Trials are the servers that crashed on trial.
-	Trials   []string
-	Versions []string
-	What     string
-	At       int64
+	Trials      []string
+	Versions    []string
+	Description string
+	LastCrash   int64
 	// Claims is the number of claimed trials.
 	Claims int
-	// ExplainedBy are the barred requests to which crashes of its servers are attributed instead.
-	ExplainedBy []Fingerprint
+	// AttributedTo are the barred requests to which crashes of its servers are attributed instead.
+	AttributedTo []Fingerprint
 }
 
 // history holds the records of all hosts about one request and the state derived from them.
@@ -87,12 +87,12 @@
 	s := Summary{Fingerprint: f, Hosts: slices.Sorted(maps.Keys(h.records))}
 	for _, host := range s.Hosts {
 		r := h.records[host]
-		s.Ended += r.Ended
+		s.Crashes += r.Crashes
 		s.Servers = union(s.Servers, r.Servers)
 		s.Versions = union(s.Versions, r.Versions)
 		s.Trials = union(s.Trials, r.Trials)
-		if r.At >= s.At {
-			s.What, s.At = r.What, r.At
+		if r.LastCrash >= s.LastCrash {
+			s.Description, s.LastCrash = r.Description, r.LastCrash
 		}
 	}
 	s.Standing = standingOf(s.Servers, s.Trials)
@@ -115,7 +115,7 @@
 // standingOf returns the standing that follows from the crashed servers.
 func standingOf(servers, trials []string) Standing {
 	switch {
-	case len(servers) >= LeastEnds && len(trials) >= LeastTrials:
+	case len(servers) >= MinCrashes && len(trials) >= MinTrialCrashes:
 		return Barred
 	case len(servers) > 0:
 		return Suspect
@@ -129,8 +129,8 @@
 // outweighs reports whether a crash shared by two requests is attributed to s rather than other:
 // hosts saw more crashes under s. The lower fingerprint breaks ties.
 func (s Summary) outweighs(other Summary) bool {
-	if s.Ended != other.Ended {
-		return s.Ended > other.Ended
+	if s.Crashes != other.Crashes {
+		return s.Crashes > other.Crashes
 	}
 	return strings.Compare(s.Fingerprint.String(), other.Fingerprint.String()) < 0
 }
@@ -243,8 +243,8 @@
 	}
 }
 
-// Changes returns the changes of standings since the last call, in order.
-func (b *Book) Changes() []Change {
+// TakeChanges returns the changes of standings since the last call, in order.
+func (b *Book) TakeChanges() []Change {
 	changes := b.pendingChanges
 	b.pendingChanges = nil
 	return changes
@@ -265,7 +265,7 @@
 		return Summary{Fingerprint: f}
 	}
 	s := h.summary
-	s.Standing, s.ExplainedBy, s.Claims = h.standing, h.explainedBy, len(h.claims)
+	s.Standing, s.AttributedTo, s.Claims = h.standing, h.explainedBy, len(h.claims)
 	return s
 }
 
--- a/quarantine/suspicion.go
+++ b/quarantine/suspicion.go
@@ -8,11 +8,11 @@
 	// within a few milliseconds of each other. A trial is delayed by it only after the query was
 	// cancelled at its servers, or after another trial.
 	trialQuietPeriod = 25 * time.Millisecond
-	// TrialSpread is the maximum random delay of a second trial, which also goes to a random
+	// MaxTrialJitter is the maximum random delay of a second trial, which also goes to a random
 	// shard. It separates the trials of requests that lost the same servers, so that an innocent
 	// one is not barred with the other. Requests that run longer than this are separated by the
 	// shard and by the number of crashes attributed to each.
-	TrialSpread = 100 * time.Millisecond
+	MaxTrialJitter = 100 * time.Millisecond
 	// cancelThreshold is the number of crashes under a query that no server has served from
 	// which it is cancelled at the servers that still run it. A single crash may be a
 	// coincidence; two before any reply are unlikely unless half of all servers are lost.
@@ -22,8 +22,8 @@
 	verdictWaitDivisor = 3
 )
 
-// End is the crash of a server while it ran a query.
-type End struct {
+// Crash is the crash of a server while it ran a query.
+type Crash struct {
 	// Server identifies the process.
 	Server string
 	// Version is the version of its software; empty is unknown.
@@ -57,30 +57,30 @@
 // trial, not before verdictBy.
 func (s *Suspicion) Suspect(verdictBy time.Time) { s.suspected, s.nextTrial = true, verdictBy }
 
-// AwaitVerdict returns the time until which a query leaves the trial of a suspect to others. This
+// TrialWaitDeadline returns the time until which a query leaves the trial of a suspect to others. This
 // is verdictBy, but at most a fixed part of the time between arrived and deadline, as a stream of
 // reports about an innocent request would otherwise delay it until its deadline.
-func AwaitVerdict(verdictBy, arrived, deadline time.Time) time.Time {
+func TrialWaitDeadline(verdictBy, arrived, deadline time.Time) time.Time {
 	if latest := arrived.Add(deadline.Sub(arrived) / verdictWaitDivisor); latest.Before(verdictBy) {
 		return latest
 	}
 	return verdictBy
 }
 
-// Absolve records that a server has served another attempt of the request since.
-func (s *Suspicion) Absolve() { s.suspected = false }
+// Clear records that a server has served another attempt of the request since.
+func (s *Suspicion) Clear() { s.suspected = false }
 
 // OnTrial reports whether the query must be sent to one server at a time.
 func (s *Suspicion) OnTrial() bool {
-	return s.served == 0 && s.suspected || s.unreported.Ended > s.served
+	return s.served == 0 && s.suspected || s.unreported.Crashes > s.served
 }
 
-// Wait delays the next trial by d. Callers choose it at random, so that requests that lost the same
+// DelayTrial delays the next trial by d. Callers choose it at random, so that requests that lost the same
 // servers do not go on trial at the same time.
-func (s *Suspicion) Wait(d time.Duration) { s.nextTrial = s.nextTrial.Add(d) }
+func (s *Suspicion) DelayTrial(d time.Duration) { s.nextTrial = s.nextTrial.Add(d) }
 
-// TrialFrom returns the earliest start of the next trial.
-func (s *Suspicion) TrialFrom() time.Time { return s.nextTrial }
+// NextTrial returns the earliest start of the next trial.
+func (s *Suspicion) NextTrial() time.Time { return s.nextTrial }
 
 // Served records that a server served the query, and reports whether that clears the request.
 func (s *Suspicion) Served() (clears bool) {
@@ -92,19 +92,19 @@
 // WasServed reports whether a server served the query.
 func (s *Suspicion) WasServed() bool { return s.served > 0 }
 
-// Ended records the crash of a server under the query. If cancel is true, the query must be
+// Crashed records the crash of a server under the query. If cancel is true, the query must be
 // cancelled at the servers that still run it and all hosts must suspect it. If report is true, a
 // crash on trial must be reported to all hosts now.
-func (s *Suspicion) Ended(e End, now time.Time) (cancel, report bool) {
-	s.unreported.Ended++
-	s.unreported.At = now.UnixMilli()
+func (s *Suspicion) Crashed(e Crash, now time.Time) (cancel, report bool) {
+	s.unreported.Crashes++
+	s.unreported.LastCrash = now.UnixMilli()
 	s.unreported.Servers = appendUnique(s.unreported.Servers, e.Server)
 	if e.Version != "" {
 		s.unreported.Versions = appendUnique(s.unreported.Versions, e.Version)
 	}
 	if !e.OnTrial {
 		s.lastCrash = now
-		cancel = !s.cancelled && s.served == 0 && s.unreported.Ended >= cancelThreshold
+		cancel = !s.cancelled && s.served == 0 && s.unreported.Crashes >= cancelThreshold
 		s.cancelled = s.cancelled || cancel
 		if cancel {
 			s.nextTrial = now.Add(trialQuietPeriod) // An earlier crash on trial would not count.
@@ -120,10 +120,10 @@
 	return false, true
 }
 
-// Tell returns the crashes since the last reply that were not reported to all hosts yet, and
+// TakeReport returns the crashes since the last reply that were not reported to all hosts yet, and
 // marks the query as suspected. It returns false if they are not more than the replies.
-func (s *Suspicion) Tell() (Record, bool) {
-	if s.unreported.Ended <= s.served {
+func (s *Suspicion) TakeReport() (Record, bool) {
+	if s.unreported.Crashes <= s.served {
 		return Record{}, false
 	}
 	record := s.unreported
--- a/quarantine/witness.go
+++ b/quarantine/witness.go
@@ -14,48 +14,48 @@
 // BrokenCall is a call whose connection broke, at a server that may have crashed.
 type BrokenCall struct {
 	Fingerprint Fingerprint
-	End         End
-	// What describes the request to operators.
-	What string
+	Crash       Crash
+	// Description describes the request to operators.
+	Description string
 	// At is the time at which the query that made the call completed.
 	At time.Time
 }
 
 // Record returns the record of the call for the case that its server has crashed.
 func (c BrokenCall) Record() Record {
-	r := Record{Servers: []string{c.End.Server}, Ended: 1, Versions: []string{c.End.Version}, What: c.What, At: c.At.UnixMilli()}
-	if c.End.OnTrial {
+	r := Record{Servers: []string{c.Crash.Server}, Crashes: 1, Versions: []string{c.Crash.Version}, Description: c.Description, LastCrash: c.At.UnixMilli()}
+	if c.Crash.OnTrial {
 		r.Trials = r.Servers
 	}
 	return r
 }
 
-// Witnesses tracks the broken calls of queries that no server served, until it is known whether
+// BrokenCalls tracks the broken calls of queries that no server served, until it is known whether
 // their servers crashed. A server that a supervisor restarts at once accepts the next connection,
 // so that only its registry entry shows the crash later. It is not safe for concurrent use.
-type Witnesses struct {
+type BrokenCalls struct {
 	// calls maps servers to their broken calls.
 	calls map[string][]BrokenCall
 	// count is the number of calls of all servers.
 	count int
 }
 
-// NewWitnesses returns a Witnesses without calls.
-func NewWitnesses() *Witnesses { return &Witnesses{calls: map[string][]BrokenCall{}} }
+// NewBrokenCalls returns a Witnesses without calls.
+func NewBrokenCalls() *BrokenCalls { return &BrokenCalls{calls: map[string][]BrokenCall{}} }
 
-// Broke adds a broken call.
-func (w *Witnesses) Broke(c BrokenCall) {
+// Add adds a broken call.
+func (w *BrokenCalls) Add(c BrokenCall) {
 	if w.count >= maxBrokenCalls {
 		w.expire(c.At)
 	}
 	if w.count < maxBrokenCalls {
-		w.calls[c.End.Server] = append(w.calls[c.End.Server], c)
+		w.calls[c.Crash.Server] = append(w.calls[c.Crash.Server], c)
 		w.count++
 	}
 }
 
-// Ended removes and returns the recent broken calls of a server that crashed.
-func (w *Witnesses) Ended(server string, now time.Time) []BrokenCall {
+// Take removes and returns the recent broken calls of a server that crashed.
+func (w *BrokenCalls) Take(server string, now time.Time) []BrokenCall {
 	w.expire(now)
 	calls := w.calls[server]
 	delete(w.calls, server)
@@ -64,7 +64,7 @@
 }
 
 // expire removes calls older than brokenCallTTL.
-func (w *Witnesses) expire(now time.Time) {
+func (w *BrokenCalls) expire(now time.Time) {
 	for server, calls := range w.calls {
 		kept := calls[:0]
 		for _, c := range calls {
--- a/replica/absent.go
+++ b/replica/absent.go
@@ -10,8 +10,8 @@
 	maxAbsentBackoff     = 250 * time.Millisecond
 )
 
-// Absent records that the address of a replica refused a connection.
-func (s *Set) Absent(i int, now time.Time) {
+// MarkAbsent records that the address of a replica refused a connection.
+func (s *Set) MarkAbsent(i int, now time.Time) {
 	leaf := s.Leaves[i]
 	if leaf.refusedConns == 0 {
 		leaf.absentSince = now
@@ -51,8 +51,8 @@
 const (
 	// Present means that at least one replica is not absent.
 	Present Presence = iota
-	// Doubtful means that all replicas are absent and the backoff of at least one has expired.
-	Doubtful
+	// RetryDue means that all replicas are absent and the backoff of at least one has expired.
+	RetryDue
 	// AllAbsent means that all replicas are absent and in backoff, or that there are none.
 	AllAbsent
 )
@@ -69,7 +69,7 @@
 			return Present, time.Time{}
 		}
 		if !now.Before(leaf.redialAt) {
-			found = Doubtful
+			found = RetryDue
 		}
 		if leaf.absentSince.After(since) {
 			since = leaf.absentSince
@@ -78,9 +78,9 @@
 	return found, since
 }
 
-// NextLook returns the time until the first backoff of an absent replica outside exclude expires,
+// NextRetry returns the time until the first backoff of an absent replica outside exclude expires,
 // at most maxAbsentBackoff.
-func (s *Set) NextLook(exclude uint64, now time.Time) time.Duration {
+func (s *Set) NextRetry(exclude uint64, now time.Time) time.Duration {
 	wait := maxAbsentBackoff
 	for i, leaf := range s.Leaves {
 		if s.allowed(i, exclude) && leaf.refusedConns > 0 {
--- a/replica/absent_test.go
+++ b/replica/absent_test.go
@@ -13,7 +13,7 @@
 func TestAbsentReplicaIsRetriedWithBackoff(t *testing.T) {
 	s := newSet(2, 2, replica.Observed)
 	ms := time.Millisecond
-	s.Absent(0, start)
+	s.MarkAbsent(0, start)
 	assert.Equal(t, s.AbsentMask(start.Add(49*ms)), uint64(1))
 	assert.Equal(t, s.AbsentMask(start.Add(50*ms)), uint64(0))
 	found, _ := s.Presence(0, start)
@@ -21,18 +21,18 @@
 	found, _ = s.Presence(2, start)
 	assert.Equal(t, found, replica.AllAbsent)
 	found, since := s.Presence(2, start.Add(50*ms))
-	assert.Equal(t, found, replica.Doubtful)
+	assert.Equal(t, found, replica.RetryDue)
 	assert.Equal(t, since, start)
 
 	s.Acquire(0, start.Add(50*ms))
 	assert.Equal(t, s.AbsentMask(start.Add(51*ms)), uint64(1), "a retry is in flight")
 	s.Leaves[0].Slots.Release()
-	s.Absent(0, start.Add(51*ms))
+	s.MarkAbsent(0, start.Add(51*ms))
 	assert.Equal(t, s.AbsentMask(start.Add(150*ms)), uint64(1), "the second backoff is longer")
 	for range 20 {
-		s.Absent(0, start)
+		s.MarkAbsent(0, start)
 	}
-	assert.Equal(t, s.NextLook(2, start), 250*ms)
+	assert.Equal(t, s.NextRetry(2, start), 250*ms)
 	answer(s, 0, ms, start.Add(time.Second))
 	found, _ = s.Presence(2, start.Add(time.Second))
 	assert.Equal(t, found, replica.Present)
--- a/replica/observe.go
+++ b/replica/observe.go
@@ -69,10 +69,10 @@
 	leaf.Slots.Shed(now)
 }
 
-// CutShort records a request that was abandoned after elapsed without a reply, for
+// Canceled records a request that was abandoned after elapsed without a reply, for
 // example because a hedge was faster. elapsed is a lower bound of the latency: it never
 // lowers the estimate, and consecutive abandoned requests raise it.
-func (s *Set) CutShort(i int, elapsed time.Duration, now time.Time) {
+func (s *Set) Canceled(i int, elapsed time.Duration, now time.Time) {
 	leaf := s.Leaves[i]
 	leaf.lastObserved = now
 	leaf.abandoned = min(leaf.abandoned+1, maxAbandoned)
@@ -99,7 +99,7 @@
 	leaf.abandoned = 0
 	leaf.ejections = 0
 	leaf.ejectedUntil = time.Time{}
-	leaf.Slots.Restarted(now)
+	leaf.Slots.StartRampUp(now)
 }
 
 // Capacity returns the number of requests that the replicas can run concurrently,
--- a/replica/report.go
+++ b/replica/report.go
@@ -22,17 +22,17 @@
 type Observation struct {
 	// Latency is the expected latency; 0 is unknown.
 	Latency time.Duration
-	// Cuts is the number of requests abandoned since the last reply.
-	Cuts int
-	// Answered is the time of the last reply; zero if there was none.
-	Answered time.Time
+	// Canceled is the number of requests abandoned since the last reply.
+	Canceled int
+	// LastReply is the time of the last reply; zero if there was none.
+	LastReply time.Time
 	// Ejected is whether the replica is ejected.
 	Ejected bool
 }
 
 // Observation returns what this host observed of the leaf.
 func (l *Leaf) Observation(now time.Time) Observation {
-	return Observation{Latency: l.localEstimate(), Cuts: l.abandoned, Answered: l.lastAnswer, Ejected: now.Before(l.ejectedUntil)}
+	return Observation{Latency: l.localEstimate(), Canceled: l.abandoned, LastReply: l.lastAnswer, Ejected: now.Before(l.ejectedUntil)}
 }
 
 // SlowReplica is a replica that other hosts should avoid.
@@ -44,14 +44,14 @@
 	Latency time.Duration
 }
 
-// Slow returns the replicas that are much slower than the median, silent or ejected.
+// SlowReplicas returns the replicas that are much slower than the median, silent or ejected.
 // The observations must be of replicas that do the same kind of work.
-func Slow(observations []Observation, now time.Time) []SlowReplica {
+func SlowReplicas(observations []Observation, now time.Time) []SlowReplica {
 	median := medianLatency(observations)
 	limit := max(outlierFactor*median, minOutlierLatency)
 	var slow []SlowReplica
 	for i, o := range observations {
-		silent := o.Cuts >= silentAbandoned && now.Sub(o.Answered) > silentAfter
+		silent := o.Canceled >= silentAbandoned && now.Sub(o.LastReply) > silentAfter
 		if silent || o.Ejected {
 			slow = append(slow, SlowReplica{Index: i, Latency: max(o.Latency, silentAfter)})
 		} else if median > 0 && o.Latency > limit {
@@ -76,11 +76,11 @@
 	return known[len(known)/2]
 }
 
-// Reported applies the report of another host, which calls the i-th replica more
+// ApplyReport applies the report of another host, which calls the i-th replica more
 // often: its latency, or 0 if it is not slow. A report of 0 resets the estimate and the
 // ejection unless this host observed the replica within localObservationTTL. Reported
 // returns whether the replica is slow and was not reported so before.
-func (s *Set) Reported(i int, latency time.Duration, now time.Time) bool {
+func (s *Set) ApplyReport(i int, latency time.Duration, now time.Time) bool {
 	leaf := s.Leaves[i]
 	newlySlow := latency > 0 && (leaf.reportedLatency == 0 || !now.Before(leaf.reportExpiry))
 	leaf.reportedLatency = latency
--- a/replica/set.go
+++ b/replica/set.go
@@ -11,9 +11,9 @@
 	// outlierFactor is the multiple of another replica's latency from which a replica
 	// is an outlier.
 	outlierFactor = 3
-	// ProbeEvery is the default interval at which an avoided replica gets one
+	// ProbeInterval is the default interval at which an avoided replica gets one
 	// idempotent request.
-	ProbeEvery = time.Second
+	ProbeInterval = time.Second
 	// lossCalls is the cost of a refused or failed request, in latencies of the fastest
 	// replica: its detection, the retry, and the retry budget that it uses.
 	lossCalls = 6
@@ -42,13 +42,13 @@
 	// Leaving forbids new requests.
 	Leaving bool
 	Slots   limit.Slots
-	// Sharers is the number of hosts that send requests to the leaf; 0 means 1.
-	Sharers int
-	// Distance is added to the latency when replicas are compared. It stands for the
+	// Hosts is the number of hosts that send requests to the leaf; 0 means 1.
+	Hosts int
+	// DistancePenalty is added to the latency when replicas are compared. It stands for the
 	// cost of the network path beyond its latency.
-	Distance time.Duration
-	// Parallel is the number of requests that the leaf runs concurrently; 0 means 1.
-	Parallel int
+	DistancePenalty time.Duration
+	// Concurrency is the number of requests that the leaf runs concurrently; 0 means 1.
+	Concurrency int
 
 	// latency is the smoothed latency; 0 is unknown.
 	latency time.Duration
@@ -256,8 +256,8 @@
 // cost returns the expected cost of a request to a leaf, as a duration.
 func (s *Set) cost(i int, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
-	parallel := max(leaf.Parallel, 1)
+	parallel := max(leaf.Concurrency, 1)
 	lossCost := time.Duration(leaf.lossRate * lossCalls * float64(s.lowestLatency(None)))
 	run := s.runTime(i, now) * time.Duration(leaf.Slots.InUse()+parallel) / time.Duration(parallel)
-	return run + leaf.Distance + lossCost + s.remoteQueueWait(i, now)
+	return run + leaf.DistancePenalty + lossCost + s.remoteQueueWait(i, now)
 }
--- a/replica/set_test.go
+++ b/replica/set_test.go
@@ -52,10 +52,10 @@
 	later := start.Add(200 * time.Millisecond)
 	assert.Equal(t, s.Pick(later, 0, 0), 1)
 	s.Leaves[0].Slots.Release()
-	s.CutShort(0, 200*time.Millisecond, start)
+	s.Canceled(0, 200*time.Millisecond, start)
 	assert.Assert(t, s.Latency(0) > s.Latency(1))
 	before := s.Latency(0)
-	s.CutShort(0, time.Microsecond, start)
+	s.Canceled(0, time.Microsecond, start)
 	assert.Equal(t, s.Latency(0), before, "an early cancellation is no latency sample")
 }
 
@@ -67,8 +67,8 @@
 	}
 	assert.Assert(t, s.Ejected(0, start))
 	assert.Equal(t, s.Pick(start, 0, 0), 1)
-	assert.Equal(t, s.Probe(start, 1<<1, replica.ProbeEvery), replica.None, "probed too soon")
-	assert.Equal(t, s.Probe(start.Add(time.Second), 1<<1, replica.ProbeEvery), replica.None, "after the ejection it is chosen again without a probe")
+	assert.Equal(t, s.Probe(start, 1<<1, replica.ProbeInterval), replica.None, "probed too soon")
+	assert.Equal(t, s.Probe(start.Add(time.Second), 1<<1, replica.ProbeInterval), replica.None, "after the ejection it is chosen again without a probe")
 }
 
 // Whichever replicas fail, at most half are ejected and one can be picked.
@@ -109,7 +109,7 @@
 // pickedOf100 returns how many of 100 requests go to a nearby replica that loses every second
 // one, when the alternative is a distant replica that loses none.
 func pickedOf100(s *replica.Set, lose func(now time.Time)) int {
-	s.Leaves[1].Distance = 40 * time.Millisecond
+	s.Leaves[1].DistancePenalty = 40 * time.Millisecond
 	now := start
 	picked := 0
 	for range 100 {
@@ -187,7 +187,7 @@
 		want           int
 	}{{8 * time.Millisecond, 30 * time.Millisecond, 0}, {25 * time.Millisecond, 30 * time.Millisecond, 1}} {
 		s := newSet(2, 2, replica.Observed)
-		s.Leaves[1].Distance = c.distance
+		s.Leaves[1].DistancePenalty = c.distance
 		answer(s, 0, c.call, start)
 		answer(s, 1, c.call, start)
 		s.Refused(0, start)
--- a/replica/wait.go
+++ b/replica/wait.go
@@ -28,10 +28,10 @@
 	slowdownHalfLife = 200 * time.Millisecond
 )
 
-// Slowed records the factor by which a leaf reports its machine to be slower than usual. The
+// ReportSlowdown records the factor by which a leaf reports its machine to be slower than usual. The
 // service time is kept without this factor, so that it does not stay high after a noisy neighbour
 // is gone.
-func (s *Set) Slowed(i int, factor float64, now time.Time) {
+func (s *Set) ReportSlowdown(i int, factor float64, now time.Time) {
 	s.Leaves[i].slowdown, s.Leaves[i].slowdownReportedAt = factor, now
 }
 
@@ -43,10 +43,10 @@
 	return 1 + (l.slowdown-1)*math.Exp2(-float64(now.Sub(l.slowdownReportedAt))/float64(slowdownHalfLife))
 }
 
-// Queued records the queue length that a leaf reported with a reply that took elapsed there,
+// ReportQueue records the queue length that a leaf reported with a reply that took elapsed there,
 // and returns the estimated run time of that request without queueing. With an elapsed of 0
 // only the queue length is recorded.
-func (s *Set) Queued(i, waiting int, elapsed time.Duration, now time.Time) time.Duration {
+func (s *Set) ReportQueue(i, waiting int, elapsed time.Duration, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
 	if !leaf.queueReportedAt.IsZero() {
 		leaf.reportInterval += time.Duration(intervalWeight * float64(min(now.Sub(leaf.queueReportedAt), maxReportInterval)-leaf.reportInterval))
@@ -56,7 +56,7 @@
 	if elapsed <= 0 {
 		return 0
 	}
-	parallel := max(leaf.Parallel, 1)
+	parallel := max(leaf.Concurrency, 1)
 	sample := elapsed * time.Duration(parallel) / time.Duration(parallel+waiting)
 	nominal := time.Duration(float64(sample) / leaf.expectedSlowdown(now))
 	if leaf.serviceTime == 0 {
@@ -73,7 +73,7 @@
 	leaf := s.Leaves[i]
 	ahead := max(leaf.reportedQueue(now), leaf.localQueue())
 	if !leaf.Slots.Free(now) {
-		ahead = max(ahead, float64(leaf.Slots.InUse()*max(leaf.Sharers, 1)-max(leaf.Parallel, 1)))
+		ahead = max(ahead, float64(leaf.Slots.InUse()*max(leaf.Hosts, 1)-max(leaf.Concurrency, 1)))
 	}
 	return leaf.queueWait(ahead)
 }
@@ -114,23 +114,23 @@
 // localQueue returns the number of this host's requests in flight that exceed the
 // parallelism of the leaf.
 func (l *Leaf) localQueue() float64 {
-	return float64(max(l.Slots.InUse()-max(l.Parallel, 1), 0))
+	return float64(max(l.Slots.InUse()-max(l.Concurrency, 1), 0))
 }
 
 // queueWait returns the time until a request runs that has ahead others queued before it.
 func (l *Leaf) queueWait(ahead float64) time.Duration {
-	return time.Duration(ahead * float64(l.serviceTime) / float64(max(l.Parallel, 1)))
+	return time.Duration(ahead * float64(l.serviceTime) / float64(max(l.Concurrency, 1)))
 }
 
-// Due is the deadline of the partial result that a call returns.
-type Due struct {
+// TimeBudget is the deadline of the partial result that a call returns.
+type TimeBudget struct {
 	// Objective is the latency objective of the whole request.
 	Objective time.Duration
-	// Left is the remaining time for the part; 0 if it is late already or not needed.
-	Left time.Duration
+	// Remaining is the remaining time for the part; 0 if it is late already or not needed.
+	Remaining time.Duration
 }
 
-// TooLate reports whether a request to a leaf with a long run time would miss its deadline
+// WouldBeLate reports whether a request to a leaf with a long run time would miss its deadline
 // because of the requests queued before it, and how long these are expected to take. A request
 // to an idle leaf is never too late. One that is late already or not needed yields to all
 // others: it is too late also if the leaf runs anything for this host.
@@ -138,24 +138,24 @@
 // This keeps the queue of a slow leaf short enough that some requests meet their deadline. It
 // does not apply to fast leaves, whose run times are not known precisely enough: requests that
 // could be in time would be delayed.
-func (s *Set) TooLate(i int, due Due, now time.Time) (wait time.Duration, late bool) {
+func (s *Set) WouldBeLate(i int, due TimeBudget, now time.Time) (wait time.Duration, late bool) {
 	run := s.runTime(i, now)
 	if run <= time.Duration(slowRunFraction*float64(due.Objective)) {
 		return 0, false
 	}
 	wait = s.Wait(i, now)
 	idle := time.Duration(maxIdleQueue * float64(s.Leaves[i].queueWait(1)))
-	if due.Left <= 0 {
+	if due.Remaining <= 0 {
 		return max(wait, s.Leaves[i].serviceTime, minOutlierLatency), wait > idle || s.Leaves[i].Slots.InUse() > 0
 	}
-	return wait, wait > idle && wait+run > due.Left
+	return wait, wait > idle && wait+run > due.Remaining
 }
 
-// Soonest estimates the completion time of a request, from now, at the leaf that would complete
+// EarliestCompletion estimates the completion time of a request, from now, at the leaf that would complete
 // it first, and its run time there. 0 means unknown, as for a leaf that has just started, and
 // compares as fastest. If all leaves are ejected or excluded, both are math.MaxInt64. Leaves in
 // the bit set exclude are not considered.
-func (s *Set) Soonest(exclude uint64, now time.Time) (expected, run time.Duration) {
+func (s *Set) EarliestCompletion(exclude uint64, now time.Time) (expected, run time.Duration) {
 	expected, run = math.MaxInt64, math.MaxInt64
 	for i := range s.Leaves {
 		if !s.usable(i, now, exclude) || s.Ejected(i, now) {
@@ -175,9 +175,9 @@
 	return s.avoided(i, now) || leaf.reportedLatency > 0 && now.Before(leaf.reportExpiry)
 }
 
-// LeastWait returns the shortest estimated wait among the usable leaves outside the bit set
+// MinWait returns the shortest estimated wait among the usable leaves outside the bit set
 // exclude; 0 if there are none.
-func (s *Set) LeastWait(exclude uint64, now time.Time) time.Duration {
+func (s *Set) MinWait(exclude uint64, now time.Time) time.Duration {
 	least := time.Duration(-1)
 	for i := range s.Leaves {
 		if !s.usable(i, now, exclude) {
--- a/replica/wait_test.go
+++ b/replica/wait_test.go
@@ -14,7 +14,7 @@
 // reportQueue records a reply of leaf i, with a service time of 20 ms, that reports waiting
 // queued requests.
 func reportQueue(s *replica.Set, i, waiting int, now time.Time) {
-	s.Queued(i, waiting, 20*ms*time.Duration(1+waiting), now)
+	s.ReportQueue(i, waiting, 20*ms*time.Duration(1+waiting), now)
 }
 
 func TestReplicaWithShorterQueueIsPicked(t *testing.T) {
@@ -26,7 +26,7 @@
 	reportQueue(s, 1, 0, start)
 	assert.Equal(t, s.Pick(start, 0, 0), 1)
 	assert.Equal(t, s.Wait(0, start), 6*20*ms)
-	assert.Equal(t, s.LeastWait(0, start), time.Duration(0))
+	assert.Equal(t, s.MinWait(0, start), time.Duration(0))
 }
 
 // In a large fleet a host gets a queue report of one replica every half second: the replica with
@@ -41,8 +41,8 @@
 				reportQueue(s, i, 6, now)
 			}
 		}
-		assert.Assert(t, s.LeastWait(0, now.Add(gap)) > 60*ms, "%v after %v", s.LeastWait(0, now.Add(gap)), gap)
-		assert.Assert(t, s.LeastWait(0, now.Add(10*gap+2*time.Second)) < 10*ms, "a queue without reports must decay")
+		assert.Assert(t, s.MinWait(0, now.Add(gap)) > 60*ms, "%v after %v", s.MinWait(0, now.Add(gap)), gap)
+		assert.Assert(t, s.MinWait(0, now.Add(10*gap+2*time.Second)) < 10*ms, "a queue without reports must decay")
 	}
 }
 
@@ -58,25 +58,25 @@
 			reportQueue(s, i, 0, now)
 		}
 	}
-	s.Slowed(0, 4, now)
-	s.Queued(0, 0, 80*ms, now)
-	expected, run := s.Soonest(0, now)
+	s.ReportSlowdown(0, 4, now)
+	s.ReportQueue(0, 0, 80*ms, now)
+	expected, run := s.EarliestCompletion(0, now)
 	assert.Equal(t, expected, 20*ms)
 	assert.Equal(t, run, 20*ms)
 	for range 10 {
 		assert.Equal(t, s.Pick(now, 0, 0), 1)
 	}
 	s.Leaves[1].Leaving = true
-	_, run = s.Soonest(0, now)
+	_, run = s.EarliestCompletion(0, now)
 	assert.Equal(t, run, 80*ms)
-	_, run = s.Soonest(0, now.Add(2*time.Second))
+	_, run = s.EarliestCompletion(0, now.Add(2*time.Second))
 	assert.Assert(t, run < 21*ms, "%v", run)
 }
 
 // If all slots of this host are in use, those of the other hosts are assumed to be too.
 func TestFullReplicaImpliesAWait(t *testing.T) {
 	s := newSet(1, 3, replica.Observed)
-	s.Leaves[0].Parallel, s.Leaves[0].Sharers = 2, 3
+	s.Leaves[0].Concurrency, s.Leaves[0].Hosts = 2, 3
 	reportQueue(s, 0, 0, start)
 	for range 3 {
 		assert.Assert(t, s.Acquire(0, start))
@@ -88,7 +88,7 @@
 // that its estimate can recover.
 func TestFreeReplicaIsNotWaitedFor(t *testing.T) {
 	s := newSet(2, 4, replica.Observed)
-	s.Leaves[1].Distance = 40 * ms
+	s.Leaves[1].DistancePenalty = 40 * ms
 	answer(s, 0, 35*ms, start)
 	answer(s, 1, 8*ms, start)
 	now := start.Add(10 * time.Second)
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -18,7 +18,7 @@
 	return &Budget{refill: share, size: size, tokens: size}
 }
 
-// FirstAttempts refills the bucket for n first attempts that were sent.
+// AddFirstAttempts refills the bucket for n first attempts that were sent.
 func (b *Budget) FirstAttempts(n int) {
 	b.tokens = min(b.size, b.tokens+b.refill*float64(n))
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -28,18 +28,18 @@
 // NewWindow returns an empty window of the given length.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
-// First records n first attempts.
-func (w *Window) First(n int, now time.Time) { w.bucket(now).first += n }
+// AddFirstAttempts records n first attempts.
+func (w *Window) AddFirstAttempts(n int, now time.Time) { w.bucket(now).first += n }
 
 // Take reports whether an extra attempt is permitted, and records it if so: including it,
 // the extra attempts in the window are at most share times the first attempts plus slack.
 func (w *Window) Take(share, slack float64, now time.Time) bool {
-	return w.TakePart(1, share, slack, now)
+	return w.TakeFraction(1, share, slack, now)
 }
 
-// TakePart is like Take, but uses only the given fraction (0 to 1) of the permitted extra
+// TakeFraction is like Take, but uses only the given fraction (0 to 1) of the permitted extra
 // attempts, rounded up to a whole attempt, and leaves the rest to other callers.
-func (w *Window) TakePart(fraction, share, slack float64, now time.Time) bool {
+func (w *Window) TakeFraction(fraction, share, slack float64, now time.Time) bool {
 	first, extra := w.Counts(now)
 	permitted := share*float64(first) + slack
 	if float64(extra+1) > permitted || float64(extra) >= fraction*permitted {
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -31,9 +31,9 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 600).Draw(rt, "ms")) * time.Millisecond)
 			w := windows[rapid.IntRange(0, hosts-1).Draw(rt, "host")]
 			if rapid.Bool().Draw(rt, "first") {
-				w.First(1, now)
+				w.AddFirstAttempts(1, now)
 				events = append(events, event{at: now})
-			} else if w.TakePart(rapid.Float64Range(0, 1).Draw(rt, "part"), share, slack/float64(hosts), now) {
+			} else if w.TakeFraction(rapid.Float64Range(0, 1).Draw(rt, "part"), share, slack/float64(hosts), now) {
 				events = append(events, event{at: now, extra: true})
 			}
 		}
@@ -58,7 +58,7 @@
 func ExampleWindow() {
 	w := retry.NewWindow(10 * time.Second)
 	now := time.Unix(0, 0)
-	w.First(10, now)
+	w.AddFirstAttempts(10, now)
 	fmt.Println(w.Take(0.2, 0, now), w.Take(0.2, 0, now), w.Take(0.2, 0, now))
 	now = now.Add(11 * time.Second)
 	fmt.Println(w.Take(0.2, 0, now))
@@ -73,7 +73,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		w.First(1, now)
+		w.AddFirstAttempts(1, now)
 		w.Take(0.2, 10, now)
 	}
 }
@@ -84,7 +84,7 @@
 	taken := func(fraction, slack float64) int {
 		w := retry.NewWindow(10 * time.Second)
 		n := 0
-		for w.TakePart(fraction, 0, slack, time.Unix(1000, 0)) {
+		for w.TakeFraction(fraction, 0, slack, time.Unix(1000, 0)) {
 			n++
 		}
 		return n
--- a/route/config.go
+++ b/route/config.go
@@ -33,8 +33,8 @@
 	Targets []Target
 	// Query is set if a request fans out to a set of shards.
 	Query *Query
-	// Homes are the regions whose servers and hosts may see a request.
-	Homes Homes
+	// HomeRegions are the regions whose servers and hosts may see a request.
+	HomeRegions HomeRegions
 }
 
 // Target is a service of a route and its weight in the split of the requests.
@@ -59,14 +59,14 @@
 	// MaxConns is the maximum number of connections that one server accepts from
 	// all hosts together; 0 means unknown.
 	MaxConns int
-	// ColdFor is how long a server is cold after its start; 0 means unknown.
-	ColdFor time.Duration
+	// ColdDuration is how long a server is cold after its start; 0 means unknown.
+	ColdDuration time.Duration
 	// ColdPerSecond is the maximum request rate (per second) that a cold server
 	// accepts from all hosts together; 0 means unknown and sets no limit.
 	ColdPerSecond float64
-	// Odd names the fields of the service that could not be decoded. They are treated
+	// UndecodableFields names the fields of the service that could not be decoded. They are treated
 	// as unknown.
-	Odd []string
+	UndecodableFields []string
 }
 
 // Limits bounds what a caller may send; 0 means no limit.
--- a/route/homes.go
+++ b/route/homes.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Homes lists the regions that may see the requests of a route; an empty list
+// HomeRegions lists the regions that may see the requests of a route; an empty list
 // allows any region.
-type Homes []string
+type HomeRegions []string
 
 // Allow reports whether a server or host in a region may see a request. An unknown
 // region ("") is allowed only if there are no homes.
-func (h Homes) Allow(region string) bool {
+func (h HomeRegions) Allow(region string) bool {
 	return len(h) == 0 || region != "" && slices.Contains(h, region)
 }
 
 // String returns the regions as a comma-separated list.
-func (h Homes) String() string { return strings.Join(h, ", ") }
+func (h HomeRegions) String() string { return strings.Join(h, ", ") }
--- a/route/homes_test.go
+++ b/route/homes_test.go
@@ -9,10 +9,10 @@
 )
 
 func TestHomesAllow(t *testing.T) {
-	assert.Assert(t, route.Homes(nil).Allow("a") && route.Homes{}.Allow(""), "an empty list allows any region")
-	homes := route.Homes{"a", "b"}
+	assert.Assert(t, route.HomeRegions(nil).Allow("a") && route.HomeRegions{}.Allow(""), "an empty list allows any region")
+	homes := route.HomeRegions{"a", "b"}
 	assert.Assert(t, homes.Allow("a") && homes.Allow("b"))
 	assert.Assert(t, !homes.Allow("c") && !homes.Allow(""), "other and unknown regions are not allowed")
-	assert.Assert(t, !route.Homes{""}.Allow(""), "an empty home does not match an unknown region")
+	assert.Assert(t, !route.HomeRegions{""}.Allow(""), "an empty home does not match an unknown region")
 	assert.Equal(t, homes.String(), "a, b")
 }
--- a/route/table.go
+++ b/route/table.go
@@ -24,9 +24,9 @@
 type Entry struct {
 	Route
 	split roundRobin
-	// Spare is, for a query, the number of shards that the answer to any query over
+	// MaxMissing is, for a query, the number of shards that the answer to any query over
 	// the same shards may lack.
-	Spare int
+	MaxMissing int
 }
 
 // NewTable returns the table of a valid configuration.
@@ -63,7 +63,7 @@
 	for _, entries := range t.byHost {
 		for _, e := range entries {
 			if e.Query != nil {
-				e.Spare = minSpare[slices.IndexFunc(t.shardSets, func(set []string) bool { return slices.Equal(set, e.Query.Shards) })]
+				e.MaxMissing = minSpare[slices.IndexFunc(t.shardSets, func(set []string) bool { return slices.Equal(set, e.Query.Shards) })]
 			}
 		}
 	}
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -89,6 +89,6 @@
 	assert.Assert(t, adopted)
 	assert.Equal(t, len(config.Warnings()), 3)
 	assert.Equal(t, config.Routes[1].Rank(), uint32(0))
-	assert.Equal(t, config.Routes[2].Goal(), config.Routes[2].Timeout/2)
-	assert.Equal(t, config.Routes[3].Goal(), config.Routes[3].Timeout)
+	assert.Equal(t, config.Routes[2].EffectiveObjective(), config.Routes[2].Timeout/2)
+	assert.Equal(t, config.Routes[3].EffectiveObjective(), config.Routes[3].Timeout)
 }
--- a/route/validate.go
+++ b/route/validate.go
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, s := range c.Services {
-		for _, field := range s.Odd {
+		for _, field := range s.UndecodableFields {
 			warnings = append(warnings, &InvalidError{Version: c.Version, Service: s.Name, Field: field, Remedy: "it is treated as unknown; set 0 or a positive number"})
 		}
 	}
@@ -57,9 +57,9 @@
 // defaultObjectiveShare is the default objective as a share of the timeout.
 const defaultObjectiveShare = 0.5
 
-// Goal returns the effective latency objective: the default if the route has none,
+// EffectiveObjective returns the effective latency objective: the default if the route has none,
 // and at most the timeout.
-func (r *Route) Goal() time.Duration {
+func (r *Route) EffectiveObjective() time.Duration {
 	if r.Objective <= 0 {
 		return time.Duration(defaultObjectiveShare * float64(r.Timeout))
 	}
--- a/scarcity/scarcity.go
+++ b/scarcity/scarcity.go
@@ -28,8 +28,8 @@
 	Waiting State = iota
 	// Running means that an attempt is in flight.
 	Running
-	// Resting means that an attempt may be made later.
-	Resting
+	// BackingOff means that an attempt may be made later.
+	BackingOff
 	// Covered means that the part of the shard has arrived.
 	Covered
 	// Closed means that no more attempts are made.
@@ -44,41 +44,41 @@
 	Ask Verdict = iota
 	// AskIfIdle means that the shard is asked only where that displaces no other request.
 	AskIfIdle
-	// LeaveOut means that the shard is not asked for now.
-	LeaveOut
+	// Skip means that the shard is not asked for now.
+	Skip
 )
 
 // Shard describes one shard of a query.
 type Shard struct {
 	State State
-	// Run is the processing time of the server that is expected to answer first; Expected
+	// ServiceTime is the processing time of the server that is expected to answer first; Expected
 	// adds the wait there. 0 means unknown, which counts as fast. Only Run makes a shard
 	// scarce, because the wait changes too quickly while all servers are busy.
-	Run, Expected time.Duration
+	ServiceTime, Expected time.Duration
 }
 
-// Choice is the order in which one query asks scarce shards.
-type Choice struct {
+// AskOrder is the order in which one query asks scarce shards.
+type AskOrder struct {
 	order []int
 }
 
-// NewChoice draws a random order for a query over the given number of shards. rng belongs
+// NewAskOrder draws a random order for a query over the given number of shards. rng belongs
 // to the host, so that callers cannot influence the order.
-func NewChoice(shards int, rng *rand.Rand) *Choice { return &Choice{order: rng.Perm(shards)} }
+func NewAskOrder(shards int, rng *rand.Rand) *AskOrder { return &AskOrder{order: rng.Perm(shards)} }
 
-// Terms are the requirements of one query.
-type Terms struct {
+// Requirements are the requirements of one query.
+type Requirements struct {
 	// Needed is the number of shards that the answer must contain. Spare is the number
 	// that may be missing from an answer to any query over the same shards.
-	Needed, Spare int
+	Needed, MaxMissing int
 	// Objective is the time within which an answer has its full value, Left what remains
 	// of it.
-	Objective, Left time.Duration
+	Objective, Remaining time.Duration
 }
 
 // Decide returns a verdict for each shard, or nil if no shard is scarce. Verdicts apply only
 // to shards that are Waiting.
-func (c *Choice) Decide(shards []Shard, t Terms) []Verdict {
+func (c *AskOrder) Decide(shards []Shard, t Requirements) []Verdict {
 	scarce := findScarce(shards, t.Objective)
 	if !slices.Contains(scarce, true) {
 		return nil
@@ -86,7 +86,7 @@
 	verdicts := make([]Verdict, len(shards))
 	missing := t.Needed - countWithoutScarce(shards, scarce)
 	if missing <= 0 {
-		return c.verdictsIfUnneeded(verdicts, scarce, t.Spare)
+		return c.verdictsIfUnneeded(verdicts, scarce, t.MaxMissing)
 	}
 	if missing > maxSequential {
 		return verdicts
@@ -96,9 +96,9 @@
 			missing--
 		}
 	}
-	for _, i := range c.candidates(shards, scarce, t.Left) {
+	for _, i := range c.candidates(shards, scarce, t.Remaining) {
 		if missing <= 0 {
-			verdicts[i] = LeaveOut
+			verdicts[i] = Skip
 		}
 		missing--
 	}
@@ -108,7 +108,7 @@
 // verdictsIfUnneeded fills in the verdicts of a query that needs no scarce shard. It leaves
 // them out if more are scarce than any answer may lack, that is if other queries need them: a
 // slot there can make another answer sufficient but adds only one more part to this one.
-func (c *Choice) verdictsIfUnneeded(verdicts []Verdict, scarce []bool, spare int) []Verdict {
+func (c *AskOrder) verdictsIfUnneeded(verdicts []Verdict, scarce []bool, spare int) []Verdict {
 	verdict, count := AskIfIdle, 0
 	for _, s := range scarce {
 		if s {
@@ -116,7 +116,7 @@
 		}
 	}
 	if count > spare {
-		verdict = LeaveOut
+		verdict = Skip
 	}
 	for i, s := range scarce {
 		if s {
@@ -129,7 +129,7 @@
 // candidates returns the scarce shards that may be asked now: first those that are expected
 // to answer in time, in the random order, which spreads queries over them, then the others
 // by expected time, so that no time is spent on shards without a usable server.
-func (c *Choice) candidates(shards []Shard, scarce []bool, left time.Duration) []int {
+func (c *AskOrder) candidates(shards []Shard, scarce []bool, left time.Duration) []int {
 	var inTime, late []int
 	for _, i := range c.order {
 		switch {
@@ -149,7 +149,7 @@
 	scarce := make([]bool, len(shards))
 	limit := max(slowFactor*medianRun(shards), time.Duration(minSlowShare*float64(objective)))
 	for i, s := range shards {
-		scarce[i] = s.Run > limit
+		scarce[i] = s.ServiceTime > limit
 	}
 	return scarce
 }
@@ -161,7 +161,7 @@
 	}
 	times := make([]time.Duration, len(shards))
 	for i, s := range shards {
-		times[i] = s.Run
+		times[i] = s.ServiceTime
 	}
 	slices.Sort(times)
 	return times[len(times)/2]
--- a/scarcity/scarcity_test.go
+++ b/scarcity/scarcity_test.go
@@ -24,9 +24,9 @@
 func shardsOf(n, scarce int) []scarcity.Shard {
 	shards := make([]scarcity.Shard, n)
 	for i := range shards {
-		shards[i].Run, shards[i].Expected = fast, fast
+		shards[i].ServiceTime, shards[i].Expected = fast, fast
 		if i < scarce {
-			shards[i].Run, shards[i].Expected = slow, slow
+			shards[i].ServiceTime, shards[i].Expected = slow, slow
 		}
 	}
 	return shards
@@ -43,12 +43,12 @@
 }
 
 func TestNoVerdictsWithoutScarceShards(t *testing.T) {
-	c := scarcity.NewChoice(20, newRNG(1))
-	terms := scarcity.Terms{Needed: 18, Spare: 2, Objective: objective, Left: objective}
+	c := scarcity.NewAskOrder(20, newRNG(1))
+	terms := scarcity.Requirements{Needed: 18, MaxMissing: 2, Objective: objective, Remaining: objective}
 	assert.Assert(t, c.Decide(shardsOf(20, 0), terms) == nil)
 	assert.Assert(t, c.Decide(make([]scarcity.Shard, 20), terms) == nil, "all run times are unknown")
 	slower := shardsOf(20, 0)
-	slower[3].Run = 70 * time.Millisecond
+	slower[3].ServiceTime = 70 * time.Millisecond
 	assert.Assert(t, c.Decide(slower, terms) == nil, "slower than the others, but below the least time of a scarce shard")
 	busy := shardsOf(20, 0)
 	busy[3].Expected = time.Second
@@ -56,35 +56,35 @@
 }
 
 func TestNoMoreAreAskedThanTheLeastShareNeeds(t *testing.T) {
-	c := scarcity.NewChoice(87, newRNG(1))
-	terms := scarcity.Terms{Needed: 83, Spare: 4, Objective: objective, Left: objective}
+	c := scarcity.NewAskOrder(87, newRNG(1))
+	terms := scarcity.Requirements{Needed: 83, MaxMissing: 4, Objective: objective, Remaining: objective}
 	shards := shardsOf(87, 6)
 	verdicts := c.Decide(shards, terms)
-	assert.Equal(t, count(verdicts, scarcity.LeaveOut), 4)
+	assert.Equal(t, count(verdicts, scarcity.Skip), 4)
 	asked := slices.IndexFunc(verdicts[:6], func(v scarcity.Verdict) bool { return v == scarcity.Ask })
 	shards[asked].State = scarcity.Running
 	again := c.Decide(shards, terms)
-	assert.Equal(t, count(again, scarcity.LeaveOut), 4, "one is in flight, one more is asked")
-	shards[asked].State = scarcity.Resting
-	assert.Equal(t, count(c.Decide(shards, terms), scarcity.LeaveOut), 3, "one refused, another is asked instead")
+	assert.Equal(t, count(again, scarcity.Skip), 4, "one is in flight, one more is asked")
+	shards[asked].State = scarcity.BackingOff
+	assert.Equal(t, count(c.Decide(shards, terms), scarcity.Skip), 3, "one refused, another is asked instead")
 }
 
 // A query must not spend its time on a scarce shard that cannot answer in time.
 func TestShardsThatCannotBeInTimeComeLast(t *testing.T) {
 	for seed := range uint64(50) {
-		c := scarcity.NewChoice(20, newRNG(seed))
+		c := scarcity.NewAskOrder(20, newRNG(seed))
 		shards := shardsOf(20, 3)
 		shards[0].Expected = time.Second
-		verdicts := c.Decide(shards, scarcity.Terms{Needed: 18, Spare: 2, Objective: objective, Left: 250 * time.Millisecond})
-		assert.Equal(t, verdicts[0], scarcity.LeaveOut)
-		assert.Equal(t, count(verdicts, scarcity.LeaveOut), 2)
+		verdicts := c.Decide(shards, scarcity.Requirements{Needed: 18, MaxMissing: 2, Objective: objective, Remaining: 250 * time.Millisecond})
+		assert.Equal(t, verdicts[0], scarcity.Skip)
+		assert.Equal(t, count(verdicts, scarcity.Skip), 2)
 	}
 }
 
 func TestQueriesThatNeedNoneLeaveThemToOthers(t *testing.T) {
-	c := scarcity.NewChoice(87, newRNG(1))
-	terms := scarcity.Terms{Needed: 74, Spare: 4, Objective: objective, Left: objective}
-	assert.Equal(t, count(c.Decide(shardsOf(87, 6), terms), scarcity.LeaveOut), 6)
+	c := scarcity.NewAskOrder(87, newRNG(1))
+	terms := scarcity.Requirements{Needed: 74, MaxMissing: 4, Objective: objective, Remaining: objective}
+	assert.Equal(t, count(c.Decide(shardsOf(87, 6), terms), scarcity.Skip), 6)
 	assert.Equal(t, count(c.Decide(shardsOf(87, 3), terms), scarcity.AskIfIdle), 3, "no query needs them")
 }
 
@@ -94,9 +94,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 140).Draw(t, "shards")
 		scarce := rapid.IntRange(1, n/3).Draw(t, "scarce")
-		terms := scarcity.Terms{
-			Needed: rapid.IntRange(1, n).Draw(t, "needed"), Spare: rapid.IntRange(0, n).Draw(t, "spare"),
-			Objective: objective, Left: time.Duration(rapid.IntRange(0, 300).Draw(t, "left")) * time.Millisecond,
+		terms := scarcity.Requirements{
+			Needed: rapid.IntRange(1, n).Draw(t, "needed"), MaxMissing: rapid.IntRange(0, n).Draw(t, "spare"),
+			Objective: objective, Remaining: time.Duration(rapid.IntRange(0, 300).Draw(t, "left")) * time.Millisecond,
 		}
 		shards := shardsOf(n, scarce)
 		withoutScarce, running := 0, 0
@@ -109,7 +109,7 @@
 				running++
 			}
 		}
-		verdicts := scarcity.NewChoice(n, newRNG(1)).Decide(shards, terms)
+		verdicts := scarcity.NewAskOrder(n, newRNG(1)).Decide(shards, terms)
 		assert.Equal(t, count(verdicts[scarce:], scarcity.Ask), n-scarce)
 		asked := 0
 		for i := range scarce {
--- a/scatter/gather.go
+++ b/scatter/gather.go
@@ -26,12 +26,12 @@
 	Merged Verdict = iota
 	// Late means that the shard or the gather was already closed.
 	Late
-	// Foreign means that no attempt in flight has the identifier.
-	Foreign
+	// UnknownAttempt means that no attempt in flight has the identifier.
+	UnknownAttempt
 	// OtherSnapshot means that the part is of another epoch, version or shard.
 	OtherSnapshot
-	// CutShort means that the part does not have RowCount rows.
-	CutShort
+	// Truncated means that the part does not have RowCount rows.
+	Truncated
 )
 
 // String returns the name of the verdict as used in metrics.
@@ -39,12 +39,12 @@
 	return [...]string{"merged", "late", "foreign", "other_snapshot", "cut_short"}[v]
 }
 
-// Missing is the reason why a shard did not contribute.
-type Missing int
+// MissingReason is the reason why a shard did not contribute.
+type MissingReason int
 
 const (
-	// NotMissing means that the shard contributed.
-	NotMissing Missing = iota
+	// ReasonNone means that the shard contributed.
+	ReasonNone MissingReason = iota
 	// NoReplica means that there was no live replica to send the request to.
 	NoReplica
 	// Refused means that every replica refused the request.
@@ -53,14 +53,14 @@
 	Failed
 	// TooLate means that no part arrived in time.
 	TooLate
-	// NotHeld means that no replica could serve the pinned snapshot.
-	NotHeld
-	// Clipped means that the received part lacked rows.
-	Clipped
+	// SnapshotUnavailable means that no replica could serve the pinned snapshot.
+	SnapshotUnavailable
+	// TruncatedPart means that the received part lacked rows.
+	TruncatedPart
 )
 
-// Early is the condition for answering without the remaining shards.
-type Early struct {
+// EarlyStop is the condition for answering without the remaining shards.
+type EarlyStop struct {
 	// Share is the share of the shards (0 to 1) that must have contributed; 0 waits
 	// for all of them.
 	Share float64
@@ -72,7 +72,7 @@
 	running []string
 	merged  *Part
 	closed  bool
-	missing Missing
+	missing MissingReason
 }
 
 // Gather collects the parts of one query. It is not safe for concurrent use.
@@ -80,7 +80,7 @@
 	shardNames []string
 	shards     []shardState
 	snapshot   Snapshot
-	early      Early
+	early      EarlyStop
 	start      time.Time
 	// pending is the number of shards that are not closed.
 	pending int
@@ -89,7 +89,7 @@
 }
 
 // New returns a gather for the named shards, pinned to a snapshot.
-func New(shardNames []string, snapshot Snapshot, early Early, start time.Time) *Gather {
+func New(shardNames []string, snapshot Snapshot, early EarlyStop, start time.Time) *Gather {
 	return &Gather{
 		shardNames: shardNames,
 		shards:     make([]shardState, len(shardNames)),
@@ -124,37 +124,37 @@
 // Reply ends an attempt with a part, and merges the part if it is valid.
 func (g *Gather) Reply(shard int, attempt string, part Part) Verdict {
 	if !g.removeAttempt(shard, attempt) {
-		return Foreign
+		return UnknownAttempt
 	}
 	s := &g.shards[shard]
 	if g.closed || s.closed {
 		return Late
 	}
 	if len(part.Rows) != part.RowCount {
-		s.missing = Clipped
-		return CutShort
+		s.missing = TruncatedPart
+		return Truncated
 	}
 	if part.Shard != g.shardNames[shard] || part.Snapshot.Epoch != g.snapshot.Epoch || part.Snapshot.Version == 0 {
-		s.missing = NotHeld
+		s.missing = SnapshotUnavailable
 		return OtherSnapshot
 	}
 	if g.snapshot.Version == 0 {
 		g.snapshot.Version = part.Snapshot.Version
 	}
 	if part.Snapshot.Version != g.snapshot.Version {
-		s.missing = NotHeld
+		s.missing = SnapshotUnavailable
 		return OtherSnapshot
 	}
 	s.merged = &part
 	s.closed = true
-	s.missing = NotMissing
+	s.missing = ReasonNone
 	g.pending--
 	g.merged++
 	return Merged
 }
 
 // Ended records that an attempt ended without a part.
-func (g *Gather) Ended(shard int, attempt string, reason Missing) {
+func (g *Gather) Ended(shard int, attempt string, reason MissingReason) {
 	if g.removeAttempt(shard, attempt) && g.Open(shard) {
 		g.shards[shard].missing = reason
 	}
@@ -173,18 +173,18 @@
 	return false
 }
 
-// GiveUp closes a shard that gets no more attempts. If reason is NotMissing, the
+// GiveUp closes a shard that gets no more attempts. If reason is ReasonNone, the
 // reason of an earlier attempt is kept.
-func (g *Gather) GiveUp(shard int, reason Missing) {
+func (g *Gather) GiveUp(shard int, reason MissingReason) {
 	if !g.Open(shard) {
 		return
 	}
 	s := &g.shards[shard]
 	s.closed = true
-	if reason != NotMissing {
+	if reason != ReasonNone {
 		s.missing = reason
 	}
-	if s.missing == NotMissing {
+	if s.missing == ReasonNone {
 		s.missing = Failed
 	}
 	g.pending--
@@ -210,8 +210,8 @@
 
 // MissingShard is a shard that did not contribute.
 type MissingShard struct {
-	Name string
-	Why  Missing
+	Name   string
+	Reason MissingReason
 }
 
 // Result is the merged answer and its coverage.
@@ -234,10 +234,10 @@
 			continue
 		}
 		reason := s.missing
-		if reason == NotMissing {
+		if reason == ReasonNone {
 			reason = TooLate
 		}
-		result.Missing = append(result.Missing, MissingShard{Name: g.shardNames[i], Why: reason})
+		result.Missing = append(result.Missing, MissingShard{Name: g.shardNames[i], Reason: reason})
 	}
 	return result
 }
--- a/scatter/gather_test.go
+++ b/scatter/gather_test.go
@@ -18,30 +18,30 @@
 }
 
 func TestVerdicts(t *testing.T) {
-	g := scatter.New([]string{"a", "b"}, scatter.Snapshot{Epoch: 3, Version: 7}, scatter.Early{}, start)
+	g := scatter.New([]string{"a", "b"}, scatter.Snapshot{Epoch: 3, Version: 7}, scatter.EarlyStop{}, start)
 	for i := range 6 {
 		g.Started(0, fmt.Sprint(i))
 	}
 	truncated := part("a", 3, 7)
 	truncated.RowCount = 2
-	assert.Equal(t, g.Reply(0, "none", part("a", 3, 7)), scatter.Foreign)
+	assert.Equal(t, g.Reply(0, "none", part("a", 3, 7)), scatter.UnknownAttempt)
 	assert.Equal(t, g.Reply(0, "0", part("a", 3, 8)), scatter.OtherSnapshot)
 	assert.Equal(t, g.Reply(0, "1", part("a", 4, 7)), scatter.OtherSnapshot)
 	assert.Equal(t, g.Reply(0, "2", part("b", 3, 7)), scatter.OtherSnapshot)
-	assert.Equal(t, g.Reply(0, "3", truncated), scatter.CutShort)
+	assert.Equal(t, g.Reply(0, "3", truncated), scatter.Truncated)
 	assert.Equal(t, g.Reply(0, "4", part("a", 3, 7)), scatter.Merged)
 	assert.Equal(t, g.Reply(0, "5", part("a", 3, 7)), scatter.Late)
-	assert.Equal(t, g.Reply(0, "5", part("a", 3, 7)), scatter.Foreign, "one reply per attempt")
+	assert.Equal(t, g.Reply(0, "5", part("a", 3, 7)), scatter.UnknownAttempt, "one reply per attempt")
 	g.Started(1, "late")
 	result := g.Close()
 	assert.Equal(t, g.Reply(1, "late", part("b", 3, 7)), scatter.Late)
 	assert.DeepEqual(t, result.Contributed, []string{"a"})
-	assert.DeepEqual(t, result.Missing, []scatter.MissingShard{{Name: "b", Why: scatter.TooLate}})
+	assert.DeepEqual(t, result.Missing, []scatter.MissingShard{{Name: "b", Reason: scatter.TooLate}})
 }
 
 // A shard with an empty part contributes; a shard that was given up does not.
 func TestEmptyPartContributes(t *testing.T) {
-	g := scatter.New([]string{"a", "b"}, scatter.Snapshot{Epoch: 1}, scatter.Early{}, start)
+	g := scatter.New([]string{"a", "b"}, scatter.Snapshot{Epoch: 1}, scatter.EarlyStop{}, start)
 	g.Started(0, "x")
 	empty := scatter.Part{Shard: "a", Snapshot: scatter.Snapshot{Epoch: 1, Version: 2}}
 	assert.Equal(t, g.Reply(0, "x", empty), scatter.Merged)
@@ -49,12 +49,12 @@
 	assert.Assert(t, g.Finished(start))
 	result := g.Close()
 	assert.DeepEqual(t, result.Contributed, []string{"a"})
-	assert.Equal(t, result.Missing[0].Why, scatter.NoReplica)
+	assert.Equal(t, result.Missing[0].Reason, scatter.NoReplica)
 	assert.Equal(t, result.Snapshot.Version, uint64(2), "the first part pins the version")
 }
 
 func TestFinishesEarly(t *testing.T) {
-	g := scatter.New([]string{"a", "b"}, scatter.Snapshot{Epoch: 1, Version: 1}, scatter.Early{Share: 0.5, After: time.Second}, start)
+	g := scatter.New([]string{"a", "b"}, scatter.Snapshot{Epoch: 1, Version: 1}, scatter.EarlyStop{Share: 0.5, After: time.Second}, start)
 	assert.Assert(t, !g.Finished(start.Add(time.Hour)))
 	g.Started(0, "x")
 	g.Reply(0, "x", part("a", 1, 1))
@@ -68,7 +68,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c"}
 		pinned := scatter.Snapshot{Epoch: 1, Version: uint64(rapid.IntRange(0, 2).Draw(rt, "pinned"))}
-		g := scatter.New(names, pinned, scatter.Early{}, start)
+		g := scatter.New(names, pinned, scatter.EarlyStop{}, start)
 		merged := map[string]uint64{}
 		attempts := 0
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
@@ -103,7 +103,7 @@
 }
 
 func ExampleGather() {
-	g := scatter.New([]string{"north", "south"}, scatter.Snapshot{Epoch: 1, Version: 9}, scatter.Early{}, time.Unix(0, 0))
+	g := scatter.New([]string{"north", "south"}, scatter.Snapshot{Epoch: 1, Version: 9}, scatter.EarlyStop{}, time.Unix(0, 0))
 	g.Started(0, "attempt-1")
 	g.Reply(0, "attempt-1", part("north", 1, 9))
 	g.GiveUp(1, scatter.NoReplica)
@@ -122,7 +122,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				g := scatter.New(names, scatter.Snapshot{Epoch: 1, Version: 1}, scatter.Early{}, start)
+				g := scatter.New(names, scatter.Snapshot{Epoch: 1, Version: 1}, scatter.EarlyStop{}, start)
 				for i := range names {
 					g.Started(i, ids[i])
 					g.Reply(i, ids[i], part(names[i], 1, 1))
