--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -33,17 +33,17 @@
 TestInvariantNotRun@internal/home/query.go@s/\tq.maybeExecuted\+\+\n//@sent attempts are not counted
 TestInvariantNotRun@internal/home/reply.go@s/case leaf.NotSent\(r.err\):/case r.err != nil:/@every failed attempt counts as not sent
 TestInvariantNotRun@internal/entry/route.go@s/if mayHaveRun && reply.GetOutcome\(\) == callerpb.Outcome_NOT_RUN/if false/@an earlier forward to a lost home is forgotten
-TestInvariantNotRun@internal/entry/route.go@s/if len\(req.GetTicket\(\)\) > 0 \{\n\t\treturn home.Unknown/if false {\n\t\treturn home.Unknown/@a refused resend is reported as not run
+TestInvariantNotRun@internal/entry/route.go@s/if len\(req.GetTicket\(\)\) > 0 \{\n\t\treturn home.OutcomeUnknown/if false {\n\t\treturn home.OutcomeUnknown/@a refused resend is reported as not run
 TestInvariantAtMostOnce@once/ledger.go@s/if t.Incarnation != l.incarnation \{/if t.Incarnation == 0 {/; s/!hmac.Equal\(t.MAC, l.key.sign\(t\)\)/!hmac.Equal(t.MAC, t.MAC)/@a later incarnation redeems a ticket
 TestInvariantAtMostOnce@once/ledger.go@s/(l.outcomes\[t.Sequence\] = e)/$1\n\tl.redeemed = map[uint64]*[pageBits \/ 64]uint64{}\n\tdelete(l.outcomes, t.Sequence)/@a redeemed ticket is forgotten
 TestInvariantAtMostOnce@internal/home/reply.go@s/if q.notRepeatable && q.maybeExecuted > 0 \{/if false {/@a lost attempt is retried
 TestInvariantDraining@internal/home/service.go@s/l.Leaving = leaving && /l.Leaving = false && leaving && /@facts about leaving leaves are ignored
-TestInvariantDraining@drain/registry.go@s/known.incarnation == 0 \|\| incarnation <= known.incarnation/known.incarnation == 0 || incarnation <= known.incarnation || address != ""/; s/FactTTL = 30/FactTTL = 300/@a restarted leaf stays excluded
+TestInvariantDraining@drain/registry.go@s/known.incarnation == 0 \|\| incarnation <= known.incarnation/known.incarnation == 0 || incarnation <= known.incarnation || address != ""/; s/NoticeTTL = 30/NoticeTTL = 300/@a restarted leaf stays excluded
 TestInvariantGracefulStop@internal/entry/view.go@s/m.State == member.Alive \{/m.State != member.Dead {/@services stay placed on leaving hosts
 TestInvariantGracefulStop@internal/entry/daemon.go@s/n := d.inFlight.Count\(\)/n := 0 * d.inFlight.Count()/@the shutdown does not wait for requests in flight
 TestInvariantConfiguration|TestHolderNeverGoesBack@config/holder.go@s/if head.GetRevision\(\) <= h.Revision\(\) \{\n/if head.GetRevision() == h.Revision() {\n/g@an older revision replaces a newer one
-TestInvariantConfiguration@config/editor.go@s/err := e.retry\(ctx, func\(\) error \{\n\t\tvar err error\n\t\tswapped, err = e.Store.CompareAndSwap\(ctx, HeadKey, version, encoded\)\n\t\treturn err\n\t\}\)\n\tif err != nil \{\n\t\treturn 0, fmt.Errorf\("%w \(%v\)", ErrUnknown, err\)/swapped, err := e.Store.CompareAndSwap(ctx, HeadKey, version, encoded)\n\tif err != nil {\n\t\treturn 0, fmt.Errorf("%w (%v)", ErrUnavailable, err)/@a lost reply counts as a refused write
-TestInvariantConfiguration@config/editor.go@s/(return 0, fmt.Errorf\("%w \(%v\)", ErrUnknown, err\)\n\t\}\n)\tif revision, ok := acceptedRevision\(head, changeID\); ok \{\n\t\treturn revision, nil\n\t\}\n/$1/@an accepted change is reported as a conflict
+TestInvariantConfiguration@config/editor.go@s/err := e.retry\(ctx, func\(\) error \{\n\t\tvar err error\n\t\tswapped, err = e.Store.CompareAndSwap\(ctx, HeadKey, version, encoded\)\n\t\treturn err\n\t\}\)\n\tif err != nil \{\n\t\treturn 0, fmt.Errorf\("%w \(%v\)", ErrOutcomeUnknown, err\)/swapped, err := e.Store.CompareAndSwap(ctx, HeadKey, version, encoded)\n\tif err != nil {\n\t\treturn 0, fmt.Errorf("%w (%v)", ErrUnavailable, err)/@a lost reply counts as a refused write
+TestInvariantConfiguration@config/editor.go@s/(return 0, fmt.Errorf\("%w \(%v\)", ErrOutcomeUnknown, err\)\n\t\}\n)\tif revision, ok := acceptedRevision\(head, changeID\); ok \{\n\t\treturn revision, nil\n\t\}\n/$1/@an accepted change is reported as a conflict
 TestHolderNeverGoesBack@route/table.go@s/config.Version <= h.table.Version\(\)/config.Version == h.table.Version()/@an older configuration of the platform replaces a newer one
 TestAnswersAreTrue@fanout/block.go@s/if !q.anyCovered\(b.Shards\) \{/if true {/@an answer contains a shard twice
 TestFloorLeavesOutWhatCannotCount@fanout/block.go@s/blocks := dropInvalidFloors\(q.settings.Top, (.*)\)\n/blocks := $1\n/@a block with an invalid floor is counted
@@ -59,13 +59,13 @@
 TestOneSilentServerOfARelayCostsOneHedge@internal/gateway/query.go@s/maxSoftTimeoutShare = 0.2/maxSoftTimeoutShare = 0.9/@a relay delays its first reply
 TestRequestThatReachesNobodyIsRefusedSoon@internal/gateway/query.go@s/return q.reachedServer \|\| q.running\(\)/return true/@a call that reached no server counts as an offer
 TestRefusingReplicaIsChosenLess@replica/set.go@s/lossCalls = 6/lossCalls = 0/@refusals do not affect replica selection
-TestLateExtraAnswerBelongsToNobody@internal/httppool/pool.go@s/!r.Mine\(head\)/false/@a late answer to another request is accepted
+TestLateExtraAnswerBelongsToNobody@internal/httppool/pool.go@s/!r.Matches\(head\)/false/@a late answer to another request is accepted
 TestBrokenAnswersAreErrors@internal/httppool/pool.go@s/return nil, fmt.Errorf\("%w: %w", errTruncated, err\)/return body, nil/@a truncated answer is accepted
 TestBytesAfterAnAnswerEndTheConnection@internal/httppool/pool.go@s/ && c.reader.Buffered\(\) == 0//; s/ && isOpenAndEmpty\(c.Conn\)//@a connection with unexpected bytes is reused
 TestEarlyAnswerToALongBodyEndsTheConnection@internal/httppool/pool.go@s/return response, false, err\n\t\}\n\}/return response, true, err\n\t}\n}/@the rest of a request body is read as another request
 TestHostStartsSoonWhereTheStoreIsSilent@internal/control/peers.go@s/if v.StoreLost.IsZero\(\) && v.Revision > 0 \{/if v.StoreLost.IsZero() {/@a starting host waits for an unresponsive store
 TestHalfOfTheRelaysLostAtOnce@internal/control/peerhealth.go@s/if _, suspected := p.probeAt\[h.Address\]; suspected \|\|/if time.Now().Before(p.probeAt[h.Address]) ||/@requests are used to probe a lost peer
-TestSlowServerIsProbedByTheWholeFleetTogether@internal/gateway/attempt.go@s/q.view.Count\/fullRateProbers/0*fullRateProbers/@every host of a large fleet probes a slow server at the full rate
+TestSlowServerIsProbedByTheWholeFleetTogether@internal/gateway/attempt.go@s/q.view.HostCount\/fullRateProbers/0*fullRateProbers/@every host of a large fleet probes a slow server at the full rate
 TestHostsLearnOfSlowServersFromTheRelay@internal/gateway/send.go@s/\trc.applyReport\(reply, now\)\n//@reports of relays about slow servers are ignored
 TestDarkServerIsAvoided@internal/gateway/send.go@s/if canceled \{\n\t\treturn callCanceled\n\t\}\n\tout.unreachable/if canceled {\n\t\treturn callInconclusive\n\t}\n\tout.unreachable/@an abandoned connection attempt is not counted against the server
 TestReplicaSilentFromTheStartIsAvoided@replica/observe.go@s/if elapsed > leaf.latency \{/if elapsed > leaf.latency && leaf.latency > 0 {/@a server that never answered keeps an unknown latency
@@ -92,17 +92,17 @@
 TestEntriesOutliveTheHostThatKeepsThem@internal/control/announce.go@s/\t\tdelete\(a.written, a.name\).*?\n//@a host still treats an entry overwritten by another host as its own
 TestPlannedStopRemovesTheEntry@internal/control/follow.go@s/request.Leaving, leave = true, nil/leave = nil/@a graceful shutdown is not announced
 TestCallsInAnOutageDoNotGrowWithTheHosts@internal/control/follow.go@s/rank <= storeProbers/rank < 1000/@all hosts probe a lost store
-TestRestartsInAnOutage@internal/control/sync.go@s/!c.loaded && !c.discovered && v.Known/false/@state received from peers does not count as loaded
+TestRestartsInAnOutage@internal/control/sync.go@s/!c.loaded && !c.discovered && v.Initialized/false/@state received from peers does not count as loaded
 TestStoreThatRefusesTheFirstHosts@internal/control/sync.go@s/maxPeersQueried = 6/maxPeersQueried = 0/@no peer is asked while the store is unavailable
 TestHostsThatWentShareTheBudgetForAWhile@internal/control/state.go@s/return s.sharers\n/return n\n/@the retry budget of departed hosts is redistributed at once
 TestLinesDoNotGrowWithTheEntries@internal/control/state.go@s/if !s.view\(\).Share\(server, s.relaysPerDomain\).Calls\(s.self.Name, s.self.Domain\) \{/if false {/@every host logs every server
 TestLinesBeyondTheBoundAreCountedInTheNextLine@internal/obs/bounded.go@s/e.Int64\("left_out", n\)//@dropped lines are not reported
-TestConnectionsStayBelowTheLimitAtAnySize@internal/control/view.go@s/else if v.Count > usable \{/else if false {/@every host calls a server regardless of its connection limit
+TestConnectionsStayBelowTheLimitAtAnySize@internal/control/view.go@s/else if v.HostCount > usable \{/else if false {/@every host calls a server regardless of its connection limit
 TestHostsPassRequestsOnWhereAServerHasFewConnections@internal/gateway/relay.go@s/if g.whole && r.reply != nil \{/if false {/@complete replies are not relayed
 TestQueriesThatNeedOneScarceShardDoNotTakeAll@internal/gateway/attempt.go@s/if q.choice == nil \{/if true {/@every query calls all scarce shards
 TestShardsThatCannotBeInTimeComeLast@scarcity/scarcity.go@s/case shards\[i\].Expected <= left:/case true:/@a shard that cannot be in time is not tried last
 TestQueriesThatNeedNoneLeaveThemToOthers@scarcity/scarcity.go@s/if count > spare \{/if false {/@queries that need no scarce shard use its capacity
-TestNoMoreAreAskedThanTheLeastShareNeeds@scarcity/scarcity.go@s/\t\t\tverdicts\[i\] = LeaveOut/\t\t\tverdicts[i] = Ask/@more scarce shards are called than needed
+TestNoMoreAreAskedThanTheLeastShareNeeds@scarcity/scarcity.go@s/\t\t\tverdicts\[i\] = Skip/\t\t\tverdicts[i] = Ask/@more scarce shards are called than needed
 TestRequestsStayInTheirHomes@internal/gateway/pick.go@s/if !homes.Allow\(b.region\) \{/if !homes.Allow(b.region) && false {/@servers outside the home regions get requests
 TestRequestsStayInTheirHomes|TestTwoHomesShareTheRequests@route/homes.go@s/return len\(h\) == 0 \|\| /return true || /@every region counts as a home region
 TestEvacuatedDomainGetsNothing@internal/gateway/fleet.go@s/if s.Draining \|\| s.Evacuated \{/if s.Draining {/@an evacuated server gets requests
@@ -114,15 +114,15 @@
 TestFreeReplicaIsNotWaitedFor@replica/set.go@s/ \|\| leaf.Slots.Free\(now\) \{\n\t\t\tcontinue\n\t\t\}\n\t\tlimit/ {\n\t\t\tcontinue\n\t\t}\n\t\tlimit/@a query waits although a replica is free
 TestIdleTimeIsNoSilenceOfAServer@internal/gateway/pick.go@s/\tg.set.Acquire\(i, now\)\n/\tb.leaf.Slots.Acquire(now)\n/@idle time before a call counts as silence
 TestHostThatIsCutOffRefusesWhatItCannotServe@internal/gateway/reach.go@s/return lost > 0/return false/@an isolated host queues requests that it cannot serve
-TestRequestThatEndsServersIsTurnedAway@quarantine/suspicion.go@s/return s.served == 0 && s.suspected \|\| s.unreported.Ended > s.served/return false/@a query during which servers ended is not held back
+TestRequestThatEndsServersIsTurnedAway@quarantine/suspicion.go@s/return s.served == 0 && s.suspected \|\| s.unreported.Crashes > s.served/return false/@a query during which servers ended is not held back
 TestQueryThatEndsServersIsTakenFromTheOthers@quarantine/suspicion.go@s/cancelThreshold = 2/cancelThreshold = 2000/@running calls of a query that ends servers are not cancelled
-TestStanding@quarantine/standing.go@s/case len\(servers\) >= LeastEnds && len\(trials\) >= LeastTrials:/case len(servers) >= LeastEnds:/@servers that ended suffice for quarantine without trials
+TestStanding@quarantine/standing.go@s/case len\(servers\) >= MinCrashes && len\(trials\) >= MinTrialCrashes:/case len(servers) >= MinCrashes:/@servers that ended suffice for quarantine without trials
 TestBarredRequestIsTriedAgain@quarantine/book.go@s/now.Sub\(h.barredSince\) >= probation/true/@a barred request is tried again at once
 TestBarOutlivesTheHosts|TestEveryKindOfRequestIsBarred@internal/guard/guard.go@s/g.store.PutRecord\(/_ = func(string, []byte) {}; func(string, []byte) {}(/@quarantine records are not stored
-TestLogTellsWithWhichRequestAServerEnded@internal/gateway/send.go@s/out.serverEnded = g.edges.Leafs.Ended\(ctx, c.backend.Server\)/out.serverEnded = true/@every broken connection counts as the end of a server
-TestServersThatAreBackAtOnceAreKnownToHaveEnded@internal/guard/guard.go@s/range g.brokenCalls.Ended\(process, now\) \{/range g.brokenCalls.Ended(process, now)[:0] {/@entries in the store are not used as evidence of an end
+TestLogTellsWithWhichRequestAServerEnded@internal/gateway/send.go@s/out.serverEnded = g.edges.Backends.HasExited\(ctx, c.backend.Server\)/out.serverEnded = true/@every broken connection counts as the end of a server
+TestServersThatAreBackAtOnceAreKnownToHaveEnded@internal/guard/guard.go@s/range g.brokenCalls.Take\(process, now\) \{/range g.brokenCalls.Take(process, now)[:0] {/@entries in the store are not used as evidence of an end
 TestHostThatWakesAloneIsReadyAgain@internal/control/wake.go@s/\ts.unconfirmedSince = now\n//@a resumed host does not doubt its stale state
-TestRequestInHandEndsWithASuspension@internal/gateway/sleep.go@s/q.end, q.due, q.dispatchBy = q.end.Add\(-added\)/q.end, q.due, q.dispatchBy = q.end.Add(0)/; s/\tq.state.Slept\(added\)\n//@the deadline of a request in flight ignores a suspension
+TestRequestInHandEndsWithASuspension@internal/gateway/sleep.go@s/q.end, q.due, q.dispatchBy = q.end.Add\(-added\)/q.end, q.due, q.dispatchBy = q.end.Add(0)/; s/\tq.state.AddSuspension\(added\)\n//@the deadline of a request in flight ignores a suspension
 TestCrashIsAttributedToOneRequest@quarantine/standing.go@s/if other.Standing == Barred && other.outweighs\(s\) \{/if false {/@an end counts against every request on the server
 TestStanding@quarantine/standing.go@s/if !h.servedAt.IsZero\(\) \{\n\t\ts.Standing = min/if false {\n\t\ts.Standing = min/@a request that was served is barred anyway
 TestBarAfterServedGraceIsPublished@internal/guard/guard.go@s/g.publishChanges\("time"\)/g.known.Store(int64(g.book.Len()))/@a bar that starts by passage of time is not announced
@@ -133,7 +133,7 @@
 TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.reportEnds\(now\) \/\/ A repeat.*//@peers are notified only after the trial
 TestQueryThatLacksServersIsRefusedAtOnce@internal/gateway/serve.go@s/q.lacksServers\(time.Now\(\)\)/false/@queries wait for servers that no longer exist
 TestHostsWithoutTheStoreDoNotEachFindOut@internal/control/records.go@s/if c.storeLost\(\) \{\n\t\tc.peerRecords.put/if false {\n\t\tc.peerRecords.put/@peers are not notified while the store is unavailable
-TestHostThatWasToldLeavesTheTrialToTheOther@internal/gateway/trial.go@s/q.awaitVerdict\(guard.VerdictBy\(f\)\)/q.trial.Suspect(time.Time{})/@a notified host starts its own trials
-TestStanding@quarantine/standing.go@s/LeastTrials = 2/LeastTrials = 1/@one end in a trial suffices for quarantine
+TestHostThatWasToldLeavesTheTrialToTheOther@internal/gateway/trial.go@s/q.awaitVerdict\(guard.TrialDeadline\(f\)\)/q.trial.Suspect(time.Time{})/@a notified host starts its own trials
+TestStanding@quarantine/standing.go@s/MinTrialCrashes = 2/MinTrialCrashes = 1/@one end in a trial suffices for quarantine
 LIST
 exit $survived
--- a/scripts/soak-guards.sh
+++ b/scripts/soak-guards.sh
@@ -27,12 +27,12 @@
   echo "$1: not detected within $most seeds"
 }
 guard "whole answers" internal/httppool/pool.go 's/return nil, fmt.Errorf\("%w: %w", errTruncated, err\)/return body, nil/'
-guard "own answers" internal/httppool/pool.go 's/reusable := .*/reusable := !head.Close/; s/r.Mine != nil \&\& !r.Mine\(head\)/false/; s/\&\& isOpenAndEmpty\(c.Conn\)//'
+guard "own answers" internal/httppool/pool.go 's/reusable := .*/reusable := !head.Close/; s/r.Matches != nil \&\& !r.Matches\(head\)/false/; s/\&\& isOpenAndEmpty\(c.Conn\)//'
 guard "sent once" "internal/gateway/serve.go internal/gateway/query.go" 's/if !(q.)?entry.Idempotent \{/if false {/'
 guard "not run" internal/gateway/query.go 's/if !q.mayHaveRun \&\& !q.running\(\) \&\&/if/'
 guard "disjoint blocks" fanout/query.go 's/if !q.anyCovered\(b.Shards\) \{/if true {/'
 guard "floors" fanout/query.go 's/return q.best\[len\(q.best\)-RecordSize:\]/return q.best[:RecordSize]/'
 guard "draining" internal/gateway/fleet.go 's/if s.Draining \{/if false {/'
-guard "planned stop" internal/gateway/server.go 's/s.callers.Shutdown\(ctx\)/s.callers.Close()/; s/cut := g.Drained\(ctx\)/cut, _ := 0, ctx/; s/sleep\(ctx, g.settings.GetShutdown\(\).GetBalancerLag\(\).AsDuration\(\)\)//'
+guard "planned stop" internal/gateway/server.go 's/s.callers.Shutdown\(ctx\)/s.callers.Close()/; s/cut := g.WaitDrained\(ctx\)/cut, _ := 0, ctx/; s/sleep\(ctx, g.settings.GetShutdown\(\).GetBalancerLag\(\).AsDuration\(\)\)//'
 guard "retry budget" retry/window.go 's/> share\*float64\(first\)\+slack/> 1e9+share*float64(first)+slack/'
-guard "quarantine" "quarantine/suspicion.go" 's/return s.served == 0 \&\& s.suspected \|\| s.unreported.Ended > s.served/return false/'
+guard "quarantine" "quarantine/suspicion.go" 's/return s.served == 0 \&\& s.suspected \|\| s.unreported.Crashes > s.served/return false/'
--- a/snapshot/choose.go
+++ b/snapshot/choose.go
@@ -53,9 +53,9 @@
 	return t.shards[shard].replicas[replica].versions
 }
 
-// SetOut records whether a replica is excluded from the choice because it gets no
+// SetUnavailable records whether a replica is excluded from the choice because it gets no
 // requests.
-func (t *Tracker) SetOut(shard, replica int, unavailable bool) {
+func (t *Tracker) SetUnavailable(shard, replica int, unavailable bool) {
 	known := &t.shards[shard].replicas[replica]
 	if known.unavailable != unavailable {
 		known.unavailable = unavailable
--- a/snapshot/choose_test.go
+++ b/snapshot/choose_test.go
@@ -17,7 +17,7 @@
 	assert.Equal(t, tracker.Choose(), snapshot.Choice{Version: 1, Shards: 2})
 	tracker.Observe(1, 1, []uint64{1, 2})
 	assert.Equal(t, tracker.Choose(), snapshot.Choice{Version: 2, Shards: 2})
-	tracker.SetOut(1, 1, true)
+	tracker.SetUnavailable(1, 1, true)
 	assert.Equal(t, tracker.Choose(), snapshot.Choice{Version: 1, Shards: 2})
 }
 
