--- a/admission/gate.go
+++ b/admission/gate.go
@@ -138,9 +138,9 @@
 }
 
 // Offer admits or refuses a request that arrives at now.
-func (g *Gate) Offer(ask Request, now time.Time) Decision {
-	index := g.record(ask, now)
-	g.updateShare(ask.Wait, now)
+func (g *Gate) Offer(request Request, now time.Time) Decision {
+	index := g.record(request, now)
+	g.updateShare(request.Wait, now)
 	p := g.admitProbability(index)
 	if p >= 1 || g.rng.Float64() < p {
 		return Decision{Admitted: true, Probability: p}
@@ -149,32 +149,32 @@
 		g.overloadStart = now
 	}
 	g.lastRefusal = now
-	return Decision{Probability: p, RetryAfter: g.retryAfter(ask, index, now)}
+	return Decision{Probability: p, RetryAfter: g.retryAfter(request, index, now)}
 }
 
 // record adds a request to the offered work and returns the index of its rank. Ranks
 // without recent requests are dropped.
-func (g *Gate) record(ask Request, now time.Time) int {
-	g.ranks = slices.DeleteFunc(g.ranks, func(r *rankState) bool { return r.compare(ask) != 0 && now.Sub(r.lastAt) > rankExpiry })
-	i, known := slices.BinarySearchFunc(g.ranks, ask, (*rankState).compare)
+func (g *Gate) record(request Request, now time.Time) int {
+	g.ranks = slices.DeleteFunc(g.ranks, func(r *rankState) bool { return r.compare(request) != 0 && now.Sub(r.lastAt) > rankExpiry })
+	i, known := slices.BinarySearchFunc(g.ranks, request, (*rankState).compare)
 	if !known {
-		g.ranks = slices.Insert(g.ranks, i, &rankState{rank: ask.Rank, late: ask.Late, lastAt: now, cost: g.rankCost(ask.Rank)})
+		g.ranks = slices.Insert(g.ranks, i, &rankState{rank: request.Rank, late: request.Late, lastAt: now, cost: g.rankCost(request.Rank)})
 	}
 	r := g.ranks[i]
 	r.work = r.work*math.Exp(-float64(now.Sub(r.lastAt))/float64(workDecay)) + r.cost.Seconds()
-	r.objective, r.lastAt = ask.Objective, now
+	r.objective, r.lastAt = request.Objective, now
 	return i
 }
 
 // compare orders a rank relative to that of a request; late ones come last.
-func (r *rankState) compare(ask Request) int {
-	if r.late != ask.Late {
+func (r *rankState) compare(request Request) int {
+	if r.late != request.Late {
 		if r.late {
 			return 1
 		}
 		return -1
 	}
-	return cmp.Compare(r.rank, ask.Rank)
+	return cmp.Compare(r.rank, request.Rank)
 }
 
 // rankCost returns the smoothed cost of a request of the given rank, or 0 if unknown.
@@ -247,8 +247,8 @@
 // retryAfter returns the delay after which a refused caller should try again. An
 // overload is expected to last as long again as it has lasted so far; retries are
 // jittered over that time, and those of lower ranks are delayed further.
-func (g *Gate) retryAfter(ask Request, index int, now time.Time) time.Duration {
-	shortest := max(time.Duration(minRetryShare*float64(ask.Objective)), minTarget)
+func (g *Gate) retryAfter(request Request, index int, now time.Time) time.Duration {
+	shortest := max(time.Duration(minRetryShare*float64(request.Objective)), minTarget)
 	delay := min(max(now.Sub(g.overloadStart), shortest), maxRetryDelay)
 	delay += time.Duration(g.rng.Float64() * float64(delay))
 	return delay + time.Duration(rankRetryStep*float64(min(index, maxRankSteps))*float64(delay))
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -81,10 +81,10 @@
 		objective, work = lowObjective, lowWork
 	}
 	s.arrived[rank]++
-	v := gate.Offer(admission.Request{Rank: rank, Objective: objective, Wait: s.history[observationDelay-1]}, s.now)
+	decision := gate.Offer(admission.Request{Rank: rank, Objective: objective, Wait: s.history[observationDelay-1]}, s.now)
 	gate.ObserveCost(rank, work)
-	if !v.Admitted {
-		s.refused = append(s.refused, v.RetryAfter)
+	if !decision.Admitted {
+		s.refused = append(s.refused, decision.RetryAfter)
 		return
 	}
 	s.admitted[rank]++
@@ -212,12 +212,12 @@
 	late, first := 0, 0
 	for i := range 4000 {
 		s.now = s.now.Add(time.Millisecond)
-		ask := admission.Request{Objective: highObjective, Late: i%2 == 0, Wait: 30 * time.Millisecond}
-		admitted := g.Offer(ask, s.now).Admitted
+		request := admission.Request{Objective: highObjective, Late: i%2 == 0, Wait: 30 * time.Millisecond}
+		admitted := g.Offer(request, s.now).Admitted
 		g.ObserveCost(0, highWork)
 		switch {
 		case !admitted || i < 3000:
-		case ask.Late:
+		case request.Late:
 			late++
 		default:
 			first++
@@ -233,16 +233,16 @@
 		now := time.Unix(1000, 0)
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(rt, "ms")) * time.Millisecond)
-			ask := admission.Request{
+			request := admission.Request{
 				Rank:      rapid.Uint32().Draw(rt, "rank"),
 				Objective: time.Duration(rapid.IntRange(0, 1000).Draw(rt, "objective")) * time.Millisecond,
 				Late:      rapid.Bool().Draw(rt, "late"),
 				Wait:      time.Duration(rapid.IntRange(0, 100000).Draw(rt, "wait")) * time.Millisecond,
 			}
-			v := g.Offer(ask, now)
-			g.ObserveCost(ask.Rank, time.Duration(rapid.IntRange(0, 100).Draw(rt, "ran"))*time.Millisecond)
-			if !(v.Probability >= 0 && v.Probability <= 1) || v.RetryAfter < 0 || (!v.Admitted && v.RetryAfter <= 0) {
-				rt.Fatalf("Offer(%+v) = %+v", ask, v)
+			decision := g.Offer(request, now)
+			g.ObserveCost(request.Rank, time.Duration(rapid.IntRange(0, 100).Draw(rt, "ran"))*time.Millisecond)
+			if !(decision.Probability >= 0 && decision.Probability <= 1) || decision.RetryAfter < 0 || (!decision.Admitted && decision.RetryAfter <= 0) {
+				rt.Fatalf("Offer(%+v) = %+v", request, decision)
 			}
 		}
 	})
@@ -262,8 +262,8 @@
 
 func ExampleGate() {
 	g := admission.NewGate(rand.New(rand.NewPCG(1, 1)))
-	v := g.Offer(admission.Request{Objective: 200 * time.Millisecond}, time.Unix(1000, 0))
-	fmt.Println(v.Admitted)
+	decision := g.Offer(admission.Request{Objective: 200 * time.Millisecond}, time.Unix(1000, 0))
+	fmt.Println(decision.Admitted)
 	// Output: true
 }
 
--- a/admission/patience.go
+++ b/admission/patience.go
@@ -19,16 +19,16 @@
 }
 
 // Waited records a caller's timeout and returns how long the caller has waited so far.
-func (p *WaitEstimator) Waited(timeout time.Duration, now time.Time) time.Duration {
-	if now.Sub(p.longestAt) > timeoutMemory {
-		p.longest, p.longestAt = p.next, p.nextAt
-		p.next = 0
+func (e *WaitEstimator) Waited(timeout time.Duration, now time.Time) time.Duration {
+	if now.Sub(e.longestAt) > timeoutMemory {
+		e.longest, e.longestAt = e.next, e.nextAt
+		e.next = 0
 	}
-	if timeout >= p.longest || now.Sub(p.longestAt) > timeoutMemory {
-		p.longest, p.longestAt = timeout, now
-		p.next = 0
-	} else if timeout >= p.next {
-		p.next, p.nextAt = timeout, now
+	if timeout >= e.longest || now.Sub(e.longestAt) > timeoutMemory {
+		e.longest, e.longestAt = timeout, now
+		e.next = 0
+	} else if timeout >= e.next {
+		e.next, e.nextAt = timeout, now
 	}
-	return p.longest - timeout
+	return e.longest - timeout
 }
--- a/cmd/mallowgap/entry.go
+++ b/cmd/mallowgap/entry.go
@@ -41,13 +41,13 @@
 		return err
 	}
 	defer func() { _ = client.Close() }()
-	leafs := leaf.NewGRPCClient(identityIf(identity, file.GetTls().GetLeaves()).ClientCredentials())
-	defer leafs.Close()
+	leaves := leaf.NewGRPCClient(identityIf(identity, file.GetTls().GetLeaves()).ClientCredentials())
+	defer leaves.Close()
 	peers := peer.NewDRPCClient(file.GetTraffic().GetForwardTimeout().AsDuration(), identity)
 	defer func() { _ = peers.Close() }()
-	edges := entry.Dependencies{Store: client, Hosts: client, Leaves: leafs, Peers: peers, Identity: identity}
+	dependencies := entry.Dependencies{Store: client, Hosts: client, Leaves: leaves, Peers: peers, Identity: identity}
 	incarnation := uint64(time.Now().UnixNano())
-	return entry.New(file, edges, incarnation, log).Run(stopSignal())
+	return entry.New(file, dependencies, incarnation, log).Run(stopSignal())
 }
 
 // identityIf returns identity if useTLS is set, and nil otherwise, which selects
--- a/cmd/mallowgap/gateway.go
+++ b/cmd/mallowgap/gateway.go
@@ -54,15 +54,15 @@
 		return fmt.Errorf("[log] level: %w", err)
 	}
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(file.GetHost().GetMemoryMb()<<20)))
-	leafs := platform.NewLeafClient()
+	backends := platform.NewLeafClient()
 	peers := peer.NewDRPCClient(peerDialTimeout, nil)
 	defer func() { _ = peers.Close() }()
 	g := gateway.New(file, gateway.Adapters{
-		Store: platform.NewStore(file.GetStore().GetAddress(), file.GetStore().GetCallTimeout().AsDuration()), Backends: leafs, Peers: peers,
+		Store: platform.NewStore(file.GetStore().GetAddress(), file.GetStore().GetCallTimeout().AsDuration()), Backends: backends, Peers: peers,
 	}, log)
 	go checkSettingsOnHangup(path, log)
 	return g.Run(stopSignal(), gateway.Handlers{
-		Callers: platform.CallerHandler(g), Ready: platform.ReadyHandler(g), Sweep: leafs.Sweep,
+		Callers: platform.CallerHandler(g), Ready: platform.ReadyHandler(g), Sweep: backends.Sweep,
 	})
 }
 
--- a/cmd/mallowgap/quarantine.go
+++ b/cmd/mallowgap/quarantine.go
@@ -85,7 +85,7 @@
 	}
 	var names []string
 	for _, e := range records {
-		if name, err := quarantine.ParseRecordKey(e.Name); err == nil && name.Fingerprint == f {
+		if key, err := quarantine.ParseRecordKey(e.Name); err == nil && key.Fingerprint == f {
 			names = append(names, e.Name)
 		}
 	}
--- a/config/holder.go
+++ b/config/holder.go
@@ -35,7 +35,7 @@
 }
 
 // MissingParts returns the digests of the parts that must be fetched before head can
-// be passed to Offer. It returns none if head is not newer than the current one.
+// be passed to Install. It returns none if head is not newer than the current one.
 func (h *Holder) MissingParts(head *configpb.Head) ([]Digest, error) {
 	if head.GetRevision() <= h.Revision() {
 		return nil, nil
@@ -54,7 +54,7 @@
 }
 
 // Install makes head the current one if it is newer, and reports whether it did.
-// fetched contains the parts that Lacking returned.
+// fetched contains the parts that MissingParts returned.
 func (h *Holder) Install(head *configpb.Head, fetched Parts) (bool, error) {
 	if head.GetRevision() <= h.Revision() {
 		return false, nil
--- a/discovery/registry.go
+++ b/discovery/registry.go
@@ -13,7 +13,7 @@
 
 // Server is a running server as described by its registration.
 type Server struct {
-	// ID identifies the server. A later process may reuse it with a different Born.
+	// ID identifies the server. A later process may reuse it with a different StartedAtMillis.
 	ID      string
 	Service string
 	// Address is the IP:port of the server. Another server may reuse it after this
--- a/drain/registry.go
+++ b/drain/registry.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// NoticeTTL is the time after its last confirmation at which a fact expires.
+	// NoticeTTL is the time after its last confirmation at which a notice expires.
 	NoticeTTL = 30 * time.Second
-	// minExtension is the least extension of a fact's expiry at which a confirmation is
+	// minExtension is the least extension of a notice's expiry at which a confirmation is
 	// announced again.
 	minExtension = NoticeTTL / 3
-	// announceTime is how long a new or extended fact is sent with heartbeats.
+	// announceTime is how long a new or extended notice is sent with heartbeats.
 	announceTime = 5 * time.Second
 )
 
@@ -25,15 +25,15 @@
 	TTL time.Duration
 }
 
-// record is the stored form of a fact.
+// record is the stored form of a notice.
 type record struct {
 	incarnation uint64
-	// expires is when the fact expires, announceUntil when it is no longer announced.
+	// expires is when the notice expires, announceUntil when it is no longer announced.
 	expires       time.Time
 	announceUntil time.Time
 }
 
-// Registry holds the facts known to one host. It is not safe for concurrent use.
+// Registry holds the notices known to one host. It is not safe for concurrent use.
 type Registry struct {
 	records map[string]record
 }
@@ -43,21 +43,21 @@
 	return &Registry{records: map[string]record{}}
 }
 
-// Add records a fact and reports whether it was new. A fact about an earlier incarnation
+// Add records a notice and reports whether it was new. A notice about an earlier incarnation
 // than the known one is ignored, as is a confirmation that extends the expiry by less than
 // minExtension.
-func (r *Registry) Add(fact Notice, now time.Time) bool {
-	known, ok := r.records[fact.Address]
-	expires := now.Add(min(fact.TTL, NoticeTTL))
-	if ok && fact.Incarnation < known.incarnation {
+func (r *Registry) Add(notice Notice, now time.Time) bool {
+	known, ok := r.records[notice.Address]
+	expires := now.Add(min(notice.TTL, NoticeTTL))
+	if ok && notice.Incarnation < known.incarnation {
 		return false
 	}
-	isNew := !ok || fact.Incarnation > known.incarnation || !now.Before(known.expires)
+	isNew := !ok || notice.Incarnation > known.incarnation || !now.Before(known.expires)
 	if !isNew && expires.Sub(known.expires) < minExtension {
 		return false
 	}
-	r.records[fact.Address] = record{
-		incarnation:   fact.Incarnation,
+	r.records[notice.Address] = record{
+		incarnation:   notice.Incarnation,
 		expires:       expires,
 		announceUntil: now.Add(announceTime),
 	}
@@ -65,7 +65,7 @@
 }
 
 // Started records that an incarnation of a server was seen running and not leaving. It
-// removes a fact about an earlier incarnation and reports whether there was one. A fact
+// removes a notice about an earlier incarnation and reports whether there was one. A notice
 // without an incarnation stays until it expires.
 func (r *Registry) Started(address string, incarnation uint64) bool {
 	known, ok := r.records[address]
@@ -76,7 +76,7 @@
 	return true
 }
 
-// Expire removes expired facts and reports whether there were any.
+// Expire removes expired notices and reports whether there were any.
 func (r *Registry) Expire(now time.Time) bool {
 	expired := false
 	for address, known := range r.records {
@@ -97,24 +97,24 @@
 	return known.incarnation, true
 }
 
-// Pending returns the facts to send to other hosts, ordered by address.
+// Pending returns the notices to send to other hosts, ordered by address.
 func (r *Registry) Pending(now time.Time) []Notice {
-	return r.facts(func(k record) bool { return now.Before(k.announceUntil) }, now)
+	return r.notices(func(k record) bool { return now.Before(k.announceUntil) }, now)
 }
 
-// All returns every fact that has not expired, ordered by address.
+// All returns every notice that has not expired, ordered by address.
 func (r *Registry) All(now time.Time) []Notice {
-	return r.facts(func(record) bool { return true }, now)
+	return r.notices(func(record) bool { return true }, now)
 }
 
-// facts returns the unexpired facts that keep accepts, ordered by address.
-func (r *Registry) facts(keep func(record) bool, now time.Time) []Notice {
-	var facts []Notice
+// notices returns the unexpired notices that keep accepts, ordered by address.
+func (r *Registry) notices(keep func(record) bool, now time.Time) []Notice {
+	var notices []Notice
 	for address, known := range r.records {
 		if keep(known) && now.Before(known.expires) {
-			facts = append(facts, Notice{Address: address, Incarnation: known.incarnation, TTL: known.expires.Sub(now)})
+			notices = append(notices, Notice{Address: address, Incarnation: known.incarnation, TTL: known.expires.Sub(now)})
 		}
 	}
-	slices.SortFunc(facts, func(a, b Notice) int { return strings.Compare(a.Address, b.Address) })
-	return facts
+	slices.SortFunc(notices, func(a, b Notice) int { return strings.Compare(a.Address, b.Address) })
+	return notices
 }
--- a/drain/registry_test.go
+++ b/drain/registry_test.go
@@ -12,15 +12,15 @@
 
 var start = time.Unix(1000, 0)
 
-// A fact expires NoticeTTL after its last confirmation.
+// A notice expires NoticeTTL after its last confirmation.
 func TestFactExpiresUnlessConfirmed(t *testing.T) {
 	r := drain.NewRegistry()
-	fact := drain.Notice{Address: "a", Incarnation: 5, TTL: drain.NoticeTTL}
-	assert.Assert(t, r.Add(fact, start))
-	assert.Assert(t, !r.Add(fact, start.Add(time.Second)), "a repeated fact is not new")
+	notice := drain.Notice{Address: "a", Incarnation: 5, TTL: drain.NoticeTTL}
+	assert.Assert(t, r.Add(notice, start))
+	assert.Assert(t, !r.Add(notice, start.Add(time.Second)), "a repeated fact is not new")
 	assert.Equal(t, len(r.Pending(start)), 1)
 	assert.Equal(t, len(r.Pending(start.Add(6*time.Second))), 0, "the announcement time is over")
-	r.Add(fact, start.Add(20*time.Second))
+	r.Add(notice, start.Add(20*time.Second))
 	assert.Equal(t, len(r.Pending(start.Add(21*time.Second))), 1, "a confirmation is announced")
 	_, leaving := r.Leaving("a", start.Add(40*time.Second))
 	assert.Assert(t, leaving)
@@ -39,7 +39,7 @@
 	assert.Assert(t, !leaving)
 }
 
-// Two hosts that announce a fact to each other do not keep extending its expiry.
+// Two hosts that announce a notice to each other do not keep extending its expiry.
 func TestFactExchangedBetweenHostsExpires(t *testing.T) {
 	a, b := drain.NewRegistry(), drain.NewRegistry()
 	a.Add(drain.Notice{Address: "x", Incarnation: 1, TTL: drain.NoticeTTL}, start)
--- a/examples/embed/main.go
+++ b/examples/embed/main.go
@@ -76,7 +76,7 @@
 // attempts runs a job, with retries as long as the budget permits them.
 func (r *runner) attempts(name string, rank uint32) error {
 	r.mu.Lock()
-	r.budget.FirstAttempts(1)
+	r.budget.AddFirstAttempts(1)
 	r.mu.Unlock()
 	for {
 		err := r.attempt(name)
--- a/fanout/query.go
+++ b/fanout/query.go
@@ -160,7 +160,7 @@
 }
 
 // Finished reports whether the query ends at now: no shard is pending, enough
-// shards are covered and AnswerAt has passed, or End has passed.
+// shards are covered and AnswerAt has passed, or Deadline has passed.
 func (q *Query) Finished(now time.Time) bool {
 	if !now.Before(q.settings.Deadline) || q.pending() == 0 {
 		return true
--- a/internal/control/announce_test.go
+++ b/internal/control/announce_test.go
@@ -51,7 +51,7 @@
 	})
 }
 
-// Checks that a host's entry is removed soon after a planned shutdown begins, both for a
+// Checks that a host's entry is removed soon after a graceful shutdown begins, both for a
 // follower and for a leader.
 func TestPlannedStopRemovesTheEntry(t *testing.T) {
 	withCluster(t, 8, func(c *cluster) {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -79,7 +79,7 @@
 	preferredChanged chan struct{}
 
 	tasks sync.WaitGroup
-	// leave is closed when a planned shutdown begins.
+	// leave is closed when a graceful shutdown begins.
 	leave     chan struct{}
 	leaveOnce sync.Once
 }
@@ -146,7 +146,7 @@
 // Health returns the tracker of unresponsive peers.
 func (c *Control) Health() *PeerHealth { return c.health }
 
-// BeginStop begins a planned shutdown: the host stops being ready and its entry is removed from
+// BeginStop begins a graceful shutdown: the host stops being ready and its entry is removed from
 // the store.
 func (c *Control) BeginStop(ctx context.Context) {
 	c.state.do(ctx, func() {
--- a/internal/control/fakestore/fakestore.go
+++ b/internal/control/fakestore/fakestore.go
@@ -47,8 +47,8 @@
 // Timeout is the timeout of a store call in tests.
 const Timeout = 600 * time.Millisecond
 
-// Partitioned connects one host to the store. While it is cut, reads, watches, creates and writes of
-// quarantine records hang until they time out.
+// Partitioned connects one host to the store. While it is cut, reads, watches, creates and writes
+// of quarantine records hang until they time out.
 type Partitioned struct {
 	*Store
 	Cut atomic.Bool
@@ -65,12 +65,12 @@
 
 // Watch implements control.Store.
 func (s *Partitioned) Watch(ctx context.Context, after uint64, wait time.Duration) (control.Batch, error) {
-	r, err := s.Store.Watch(ctx, after, wait)
+	batch, err := s.Store.Watch(ctx, after, wait)
 	if s.Cut.Load() {
 		<-ctx.Done()
 		return control.Batch{}, ctx.Err()
 	}
-	return r, err
+	return batch, err
 }
 
 // Write implements control.Store. A cut only affects quarantine records: hosts remove their
@@ -179,11 +179,11 @@
 	if s.down {
 		return control.Batch{}, ErrDown
 	}
-	r := control.Batch{Revision: s.revision}
+	batch := control.Batch{Revision: s.revision}
 	for _, e := range s.entries {
-		r.Entries = append(r.Entries, e)
+		batch.Entries = append(batch.Entries, e)
 	}
-	return r, nil
+	return batch, nil
 }
 
 // Watch implements control.Store.
@@ -195,10 +195,10 @@
 	for {
 		s.mu.Lock()
 		changed, down, compacted := s.changed, s.down, after < s.compacted
-		r := control.Batch{Revision: s.revision}
+		batch := control.Batch{Revision: s.revision}
 		for _, e := range s.events {
 			if e.Revision > after {
-				r.Entries = append(r.Entries, e)
+				batch.Entries = append(batch.Entries, e)
 			}
 		}
 		s.mu.Unlock()
@@ -207,13 +207,13 @@
 			return control.Batch{}, ErrDown
 		case compacted:
 			return control.Batch{}, control.ErrCompacted
-		case len(r.Entries) > 0:
-			return r, nil
+		case len(batch.Entries) > 0:
+			return batch, nil
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			return r, nil
+			return batch, nil
 		case <-ctx.Done():
 			return control.Batch{}, ctx.Err()
 		}
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -120,7 +120,7 @@
 	return hosts
 }
 
-// isLeaving reports whether a planned shutdown has begun.
+// isLeaving reports whether a graceful shutdown has begun.
 func (c *Control) isLeaving() bool {
 	select {
 	case <-c.leave:
@@ -191,16 +191,16 @@
 	if err != nil {
 		return err
 	}
-	reading := Batch{Revision: reply.GetRevision(), Entries: entries}
+	batch := Batch{Revision: reply.GetRevision(), Entries: entries}
 	c.state.do(ctx, func() {
 		c.state.setStoreStatus(!reply.GetStoreLost(), errLeaderStale, now.Add(-age), now)
 		if reply.GetComplete() {
-			c.state.applyReading(reading, now)
+			c.state.applyBatch(batch, now)
 		} else {
-			c.state.applyChanges(reading, now)
+			c.state.applyChanges(batch, now)
 		}
 	})
-	c.watchedRevision = max(c.watchedRevision, reading.Revision)
+	c.watchedRevision = max(c.watchedRevision, batch.Revision)
 	if reply.GetStoreLost() {
 		return c.probeStore(ctx, now, nextProbe)
 	}
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -117,9 +117,9 @@
 		c.log.Error().Err(err).Str("peer", address).Msg("ignoring invalid reply of a peer")
 		return false
 	}
-	reading := Batch{Revision: reply.GetRevision(), Entries: entries}
-	c.log.Info().Str("peer", address).Uint64("revision", reading.Revision).Uint64("known", known).Msg("state updated from a peer")
-	c.state.do(ctx, func() { c.state.applyReading(reading, time.Now()) })
+	batch := Batch{Revision: reply.GetRevision(), Entries: entries}
+	c.log.Info().Str("peer", address).Uint64("revision", batch.Revision).Uint64("known", known).Msg("state updated from a peer")
+	c.state.do(ctx, func() { c.state.applyBatch(batch, time.Now()) })
 	return fresh
 }
 
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -168,36 +168,36 @@
 // logTally writes the summary of applied entries if it is due.
 func (s *state) logTally(now time.Time) { s.tally.flush(s.log, s.revision, !s.storeLost.IsZero(), now) }
 
-// applyReading applies a complete read of the store.
-func (s *state) applyReading(r Batch, now time.Time) {
-	present := make(map[entryKey]bool, len(r.Entries))
-	for _, e := range r.Entries {
+// applyBatch applies a complete read of the store.
+func (s *state) applyBatch(batch Batch, now time.Time) {
+	present := make(map[entryKey]bool, len(batch.Entries))
+	for _, e := range batch.Entries {
 		present[entryKey{e.Kind, e.Name}] = true
 	}
 	var removed []Entry
 	for key := range s.entries {
 		if !present[key] {
-			removed = append(removed, Entry{Kind: key.kind, Name: key.name, Revision: r.Revision, Removed: true})
+			removed = append(removed, Entry{Kind: key.kind, Name: key.name, Revision: batch.Revision, Removed: true})
 		}
 	}
-	s.applyEntries(append(removed, r.Entries...), now)
+	s.applyEntries(append(removed, batch.Entries...), now)
 	if !s.registry.Loaded() {
-		s.compactedRevision = r.Revision
+		s.compactedRevision = batch.Revision
 	}
 	s.registry.MarkLoaded()
 	s.tally.readings++
-	s.revision = max(s.revision, r.Revision)
+	s.revision = max(s.revision, batch.Revision)
 	s.logTally(now)
 	s.publish(now)
 }
 
 // applyChanges applies the changes since the known revision.
-func (s *state) applyChanges(r Batch, now time.Time) {
-	s.revision = max(s.revision, r.Revision)
-	if len(r.Entries) == 0 {
+func (s *state) applyChanges(batch Batch, now time.Time) {
+	s.revision = max(s.revision, batch.Revision)
+	if len(batch.Entries) == 0 {
 		return
 	}
-	s.applyEntries(r.Entries, now)
+	s.applyEntries(batch.Entries, now)
 	s.logTally(now)
 	s.publish(now)
 }
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -136,16 +136,16 @@
 
 // read applies a complete read of the store.
 func (c *Control) read(ctx context.Context) error {
-	reading, err := c.store.Read(ctx)
+	batch, err := c.store.Read(ctx)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
 	c.state.do(ctx, func() {
 		c.state.setStoreStatus(true, nil, now, now)
-		c.state.applyReading(reading, now)
+		c.state.applyBatch(batch, now)
 	})
-	c.watchedRevision = reading.Revision
+	c.watchedRevision = batch.Revision
 	c.loaded = true
 	return nil
 }
--- a/internal/control/tally_test.go
+++ b/internal/control/tally_test.go
@@ -77,11 +77,11 @@
 	s := newState(jsonDecoder{}, noopListener{}, self, 3, zerolog.New(zerolog.SyncWriter(&out)))
 	now := time.Unix(1000, 0)
 	entries := fleetEntries(195, 216, 1)
-	s.applyReading(Batch{Revision: 1, Entries: entries}, now)
+	s.applyBatch(Batch{Revision: 1, Entries: entries}, now)
 	for i := range uint64(3) {
 		now = now.Add(300 * time.Millisecond)
-		s.applyReading(Batch{Revision: 2 + 2*i, Entries: entries[len(entries)-1:]}, now)
-		s.applyReading(Batch{Revision: 3 + 2*i, Entries: fleetEntries(195, 216, 3+2*i)}, now)
+		s.applyBatch(Batch{Revision: 2 + 2*i, Entries: entries[len(entries)-1:]}, now)
+		s.applyBatch(Batch{Revision: 3 + 2*i, Entries: fleetEntries(195, 216, 3+2*i)}, now)
 	}
 	lines := strings.Count(out.String(), "\n")
 	assert.Assert(t, lines <= 2+detailLinesPerSecond+5, "%d lines:\n%s", lines, out.String())
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -15,7 +15,7 @@
 	"github.com/mallowgap/mallowgap/member"
 )
 
-// sweepInterval is how often expired suspicions and leaving facts are removed.
+// sweepInterval is how often expired suspicions and notices of leaving servers are removed.
 const sweepInterval = 100 * time.Millisecond
 
 // control owns the control state. Its methods must run in the control loop, except
@@ -129,8 +129,8 @@
 		ranks:    deskRanks(conf),
 		leaving:  map[string]uint64{},
 	}
-	for _, f := range c.draining.All(time.Now()) {
-		v.leaving[f.Address] = f.Incarnation
+	for _, notice := range c.draining.All(time.Now()) {
+		v.leaving[notice.Address] = notice.Incarnation
 	}
 	previous := c.current.Swap(v)
 	if previous != nil && previous.Ready != v.Ready {
@@ -205,9 +205,9 @@
 }
 
 // learnLeaving records that a leaf is leaving.
-func (c *control) learnLeaving(f drain.Notice, source string) {
-	if c.draining.Add(f, time.Now()) {
-		c.log.Info().Str("leaf", f.Address).Str("from", source).Msg("leaf is leaving")
+func (c *control) learnLeaving(notice drain.Notice, source string) {
+	if c.draining.Add(notice, time.Now()) {
+		c.log.Info().Str("leaf", notice.Address).Str("from", source).Msg("leaf is leaving")
 		c.dirty = true
 	}
 }
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -36,7 +36,7 @@
 	errWrongReply = errors.New("the home returned the reply to another request: check that all entry hosts run the same version")
 )
 
-// ErrRequestsAborted is returned by Run if a planned stop cut off requests.
+// ErrRequestsAborted is returned by Run if a graceful shutdown cut off requests.
 var ErrRequestsAborted = errors.New("requests were cut off: raise drain_timeout in [shutdown]")
 
 // httpShutdownTimeout bounds the wait for open HTTP connections at the end of a stop.
@@ -77,17 +77,17 @@
 
 // New returns a daemon; Start must be called before it serves. incarnation must
 // increase with each start of the host.
-func New(settings *settingspb.Entry, edges Dependencies, incarnation uint64, log zerolog.Logger) *Daemon {
+func New(settings *settingspb.Entry, dependencies Dependencies, incarnation uint64, log zerolog.Logger) *Daemon {
 	d := &Daemon{
 		name:        settings.GetHost().GetName(),
 		incarnation: incarnation,
 		settings:    settings,
 		log:         log,
-		store:       edges.Store,
-		hosts:       edges.Hosts,
-		leaves:      edges.Leaves,
-		peers:       edges.Peers,
-		identity:    edges.Identity,
+		store:       dependencies.Store,
+		hosts:       dependencies.Hosts,
+		leaves:      dependencies.Leaves,
+		peers:       dependencies.Peers,
+		identity:    dependencies.Identity,
 		ledger:      once.NewLedger(settings.GetHost().GetName(), incarnation),
 	}
 	self := member.Fact{
@@ -147,7 +147,7 @@
 // View returns the current control state.
 func (d *Daemon) View() *View { return d.control.view() }
 
-// BeginStop begins a planned stop: it announces the stop to the host list, the load
+// BeginStop begins a graceful shutdown: it announces the stop to the host list, the load
 // balancer (by Ready) and the members, and other hosts take over this host's services
 // and roles. Requests that still arrive are served.
 func (d *Daemon) BeginStop(ctx context.Context) {
@@ -177,7 +177,7 @@
 }
 
 // Run serves on the configured listeners until stop is closed and then performs a
-// planned stop. It returns ErrRequestsAborted if requests were cut off.
+// graceful shutdown. It returns ErrRequestsAborted if requests were cut off.
 func (d *Daemon) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -73,9 +73,9 @@
 	for _, f := range c.members.PendingFacts() {
 		message.Members = append(message.Members, toProto(f))
 	}
-	for _, f := range c.draining.Pending(time.Now()) {
+	for _, notice := range c.draining.Pending(time.Now()) {
 		message.Leaves = append(message.Leaves, &peerpb.LeafFact{
-			Address: f.Address, Incarnation: f.Incarnation, TtlMs: uint32(f.TTL.Milliseconds()),
+			Address: notice.Address, Incarnation: notice.Incarnation, TtlMs: uint32(notice.TTL.Milliseconds()),
 		})
 	}
 	return message
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -85,13 +85,13 @@
 	if len(requestLines) == 0 {
 		return History{Gaps: []string{"no line mentions the request: it did not reach these hosts, or its line was dropped (mallowgap_log_lines_sampled_total, mallowgap_log_lines_dropped_total)"}}
 	}
-	s := History{Lines: slices.Concat(requestLines, stateChanges(lines, requestLines), sameFingerprint(lines, requestLines))}
-	slices.SortStableFunc(s.Lines, func(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
-	s.Gaps = append(requestGaps(requestLines), sampledGaps(s.Lines)...)
-	return s
+	h := History{Lines: slices.Concat(requestLines, stateChanges(lines, requestLines), sameFingerprint(lines, requestLines))}
+	slices.SortStableFunc(h.Lines, func(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
+	h.Gaps = append(requestGaps(requestLines), sampledGaps(h.Lines)...)
+	return h
 }
 
-// sameFingerprint returns the lines about servers that ended during other requests
+// sameFingerprint returns the lines about servers that crashed during other requests
 // with the same fingerprint, and about changes of its quarantine standing.
 func sameFingerprint(lines, requestLines []Line) []Line {
 	var fingerprints []string
@@ -102,7 +102,7 @@
 	}
 	var found []Line
 	for _, l := range lines {
-		isQuarantineLine := strings.HasPrefix(l.Message, endedMessage) || l.Message == standingMessage
+		isQuarantineLine := strings.HasPrefix(l.Message, crashMessage) || l.Message == standingMessage
 		if isQuarantineLine && l.Request != requestLines[0].Request && slices.Contains(fingerprints, l.textField("fingerprint")) {
 			found = append(found, l)
 		}
@@ -208,8 +208,8 @@
 var commonFields = map[string]bool{"time": true, "host": true, "message": true, "level": true, "request": true}
 
 // Write prints the history, each log line followed by its notes.
-func (s History) Write(w io.Writer) error {
-	for _, l := range s.Lines {
+func (h History) Write(w io.Writer) error {
+	for _, l := range h.Lines {
 		if _, err := fmt.Fprintf(w, "%s %s: %s%s\n", l.Time.Format("15:04:05.000"), l.Host, l.Message, l.details()); err != nil {
 			return err
 		}
@@ -220,7 +220,7 @@
 			}
 		}
 	}
-	for _, gap := range s.Gaps {
+	for _, gap := range h.Gaps {
 		if _, err := fmt.Fprintf(w, "incomplete: %s\n", gap); err != nil {
 			return err
 		}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -62,7 +62,7 @@
 `
 	lines, _, err := explain.Read(strings.NewReader(log))
 	assert.NilError(t, err)
-	story := explain.HistoryOf(lines, "r1")
-	assert.Equal(t, len(story.Lines), 2)
-	assert.DeepEqual(t, story.Gaps, []string{"h1 dropped 12 lines before 10:00:00.000"})
+	history := explain.HistoryOf(lines, "r1")
+	assert.Equal(t, len(history.Lines), 2)
+	assert.DeepEqual(t, history.Gaps, []string{"h1 dropped 12 lines before 10:00:00.000"})
 }
--- a/internal/explain/quarantine.go
+++ b/internal/explain/quarantine.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// endedMessage is the prefix of the message of a line about a server that ended during a
+	// crashMessage is the prefix of the message of a line about a server that crashed during a
 	// request; standingMessage is the message of a change of quarantine standing.
-	endedMessage    = "server ended with a request"
+	crashMessage    = "server ended with a request"
 	standingMessage = "standing of a request under which servers ended has changed"
-	// sameEndWindow is the time within which lines about the end of a server refer to the
+	// sameCrashWindow is the time within which lines about the crash of a server refer to the
 	// same end.
-	sameEndWindow = 200 * time.Millisecond
+	sameCrashWindow = 200 * time.Millisecond
 )
 
-// QuarantineSummary summarizes the requests during which servers ended, by fingerprint: the servers
-// that ended, the quarantine standing, and the other requests that the servers' ends affected.
+// QuarantineSummary summarizes the requests during which servers crashed, by fingerprint: the
+// servers that crashed, the quarantine standing, and the other requests that the servers' crashes
+// affected.
 type QuarantineSummary struct {
 	reports map[string]*fingerprintReport
-	// ends holds the lines about ended servers, by server.
-	ends map[string][]Line
+	// crashes holds the lines about crashed servers, by server.
+	crashes map[string][]Line
 }
 
 // fingerprintReport holds what the logs contain about one fingerprint.
 type fingerprintReport struct {
 	fingerprint, request, standing string
-	ends                           int
+	crashes                        int
 	servers, hosts, requests       map[string]bool
 	first, last                    time.Time
 	// barredFirst and barredLast are the times at which the first and the last host barred it.
@@ -38,31 +39,31 @@
 	barredBy                map[string]bool
 	// refused counts the requests that were refused because the fingerprint is barred.
 	refused int
-	// collateral holds other requests that lost a server at the same end.
+	// collateral holds other requests that lost a server at the same crash.
 	collateral map[string]bool
 }
 
-// NewQuarantineSummary builds a summary from the lines about requests during which servers ended.
+// NewQuarantineSummary builds a summary from the lines about requests during which servers crashed.
 func NewQuarantineSummary(lines []Line) QuarantineSummary {
-	q := QuarantineSummary{reports: map[string]*fingerprintReport{}, ends: map[string][]Line{}}
+	q := QuarantineSummary{reports: map[string]*fingerprintReport{}, crashes: map[string][]Line{}}
 	for _, l := range lines {
 		fingerprint := l.textField("fingerprint")
 		if fingerprint == "" {
 			continue
 		}
 		switch {
-		case strings.HasPrefix(l.Message, endedMessage):
+		case strings.HasPrefix(l.Message, crashMessage):
 			server := l.textField("server")
-			q.ends[server] = append(q.ends[server], l)
-			q.report(fingerprint).addEnd(l)
+			q.crashes[server] = append(q.crashes[server], l)
+			q.report(fingerprint).addCrash(l)
 		case l.Message == standingMessage:
 			q.report(fingerprint).addStandingChange(l)
 		case l.Message == "request" && l.textField("cause") == "barred":
 			q.report(fingerprint).refused++
 		}
 	}
-	for _, ends := range q.ends {
-		q.addCollateral(ends)
+	for _, crashes := range q.crashes {
+		q.addCollateral(crashes)
 	}
 	return q
 }
@@ -79,8 +80,8 @@
 	return c
 }
 
-func (c *fingerprintReport) addEnd(l Line) {
-	c.ends++
+func (c *fingerprintReport) addCrash(l Line) {
+	c.crashes++
 	c.servers[l.textField("server")], c.hosts[l.Host], c.requests[l.Request] = true, true, true
 	if c.first.IsZero() || l.Time.Before(c.first) {
 		c.first = l.Time
@@ -104,28 +105,28 @@
 	}
 }
 
-// addCollateral records, for each end of a server, the requests with other fingerprints that
-// lost the server at the same time. ends are those of one server.
-func (q QuarantineSummary) addCollateral(ends []Line) {
-	for _, end := range ends {
-		for _, other := range ends {
-			gap := other.Time.Sub(end.Time).Abs()
-			if gap <= sameEndWindow && other.textField("fingerprint") != end.textField("fingerprint") {
-				q.reports[end.textField("fingerprint")].collateral[other.Request] = true
+// addCollateral records, for each crash of a server, the requests with other fingerprints that
+// lost the server at the same time. crashes are those of one server.
+func (q QuarantineSummary) addCollateral(crashes []Line) {
+	for _, crash := range crashes {
+		for _, other := range crashes {
+			gap := other.Time.Sub(crash.Time).Abs()
+			if gap <= sameCrashWindow && other.textField("fingerprint") != crash.textField("fingerprint") {
+				q.reports[crash.textField("fingerprint")].collateral[other.Request] = true
 			}
 		}
 	}
 }
 
-// Write prints a table, the fingerprint with the most ends first.
+// Write prints a table, the fingerprint with the most crashes first.
 func (q QuarantineSummary) Write(w io.Writer) error {
 	var sorted []*fingerprintReport
 	for _, c := range q.reports {
 		sorted = append(sorted, c)
 	}
 	slices.SortFunc(sorted, func(a, b *fingerprintReport) int {
-		if a.ends != b.ends {
-			return b.ends - a.ends
+		if a.crashes != b.crashes {
+			return b.crashes - a.crashes
 		}
 		return strings.Compare(a.fingerprint, b.fingerprint)
 	})
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -15,15 +15,15 @@
 // not, it returns the refusal.
 func (q *query) admit(now time.Time) (Answer, bool) {
 	waited := q.gateway.callerWaited(q.entry.Name, q.request.Timeout, now)
-	ask := admission.Request{Rank: q.entry.Rank(), Objective: q.objective, Late: waited > q.objective, Wait: q.serverWait(now)}
-	v := q.groups[0].askGate(ask, now)
-	q.trace.wait, q.trace.chance = ask.Wait, v.Probability
-	if v.Admitted {
+	offered := admission.Request{Rank: q.entry.Rank(), Objective: q.objective, Late: waited > q.objective, Wait: q.serverWait(now)}
+	decision := q.groups[0].askGate(offered, now)
+	q.trace.wait, q.trace.probability = offered.Wait, decision.Probability
+	if decision.Admitted {
 		return Answer{}, true
 	}
 	reason := fmt.Sprintf("overloaded: expected wait at the servers %v, objective %v, caller waited %v, admission probability %.2f at rank %d",
-		ask.Wait.Round(time.Millisecond), q.objective, waited, v.Probability, ask.Rank)
-	return notRun(CauseOverloaded, reason, v.RetryAfter), false
+		offered.Wait.Round(time.Millisecond), q.objective, waited, decision.Probability, offered.Rank)
+	return notRun(CauseOverloaded, reason, decision.RetryAfter), false
 }
 
 // callerWaited estimates how long a caller of a route had waited before this attempt.
@@ -60,10 +60,10 @@
 }
 
 // askGate asks the admission gate of the service about a request.
-func (g *group) askGate(ask admission.Request, now time.Time) admission.Decision {
+func (g *group) askGate(offered admission.Request, now time.Time) admission.Decision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.gate.Offer(ask, now)
+	return g.gate.Offer(offered, now)
 }
 
 // leastWait estimates the wait of a request at the server with the shortest wait.
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -77,9 +77,9 @@
 	CauseServerFailed Cause = "server_failed"
 	// CauseSlow: servers did not answer in time.
 	CauseSlow Cause = "slow"
-	// CauseBarred: the request is barred because servers exit when they run it.
+	// CauseBarred: the request is barred because servers crash when they run it.
 	CauseBarred Cause = "barred"
-	// CauseSuspect: servers exited when they ran the request, and the trial by another query was not
+	// CauseSuspect: servers crashed when they ran the request, and the trial by another query was not
 	// decided in time.
 	CauseSuspect Cause = "suspect"
 	// CauseCallerLeft: the caller closed its connection.
@@ -100,6 +100,6 @@
 	Gathered fanout.Answer
 }
 
-func notRun(code Cause, reason string, retryAfter time.Duration) Answer {
-	return Answer{Outcome: NotRun, Cause: code, Reason: reason, RetryAfter: retryAfter}
+func notRun(cause Cause, reason string, retryAfter time.Duration) Answer {
+	return Answer{Outcome: NotRun, Cause: cause, Reason: reason, RetryAfter: retryAfter}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -17,7 +17,7 @@
 	shard int
 	kind  attemptKind
 	call  *call
-	// onTrial reports that the request is sent to this server alone, because other servers exited
+	// onTrial reports that the request is sent to this server alone, because other servers crashed
 	// while running it.
 	onTrial bool
 }
@@ -58,8 +58,8 @@
 
 // holdsHedges reports whether hedges are held back because no shard of the query has answered yet:
 // then no call is late compared with others, and the query itself may be the cause. This protects
-// the remaining servers of each shard from a request that makes servers exit. Hedges are sent after
-// hedgesFrom in any case, because all calls may be silent for another reason.
+// the remaining servers of each shard from a request that makes servers crash. Hedges are sent
+// after hedgesFrom in any case, because all calls may be silent for another reason.
 func (q *query) holdsHedges(now time.Time) bool {
 	return q.entry.Query != nil && !q.trial.WasServed() && now.Before(q.hedgesFrom())
 }
@@ -115,7 +115,7 @@
 
 // scarcityVerdicts returns a verdict for each shard, or nil if no shard is scarce.
 func (q *query) scarcityVerdicts(now time.Time) []scarcity.Verdict {
-	if q.choice == nil {
+	if q.askOrder == nil {
 		return nil
 	}
 	shards := make([]scarcity.Shard, len(q.groups))
@@ -123,7 +123,7 @@
 		expected, run := g.soonest(q.entry.HomeRegions, now)
 		shards[n] = scarcity.Shard{State: q.shardState(n, now), ServiceTime: run, Expected: expected}
 	}
-	return q.choice.Decide(shards, scarcity.Requirements{Needed: q.state.MinShards(), MaxMissing: q.entry.MaxMissing, Objective: q.objective, Remaining: q.timeLeft(now)})
+	return q.askOrder.Decide(shards, scarcity.Requirements{Needed: q.state.MinShards(), MaxMissing: q.entry.MaxMissing, Objective: q.objective, Remaining: q.timeLeft(now)})
 }
 
 func (q *query) shardState(n int, now time.Time) scarcity.State {
@@ -184,7 +184,7 @@
 		kind = retryAttempt
 	}
 	g := q.groups[need.Shard]
-	c, err := g.pick(now, pickOptions{tried: q.tried[need.Shard], hedge: need.Hedge, region: q.farRegion, probeEvery: q.probeInterval(), homes: q.entry.HomeRegions, due: replica.TimeBudget{Objective: q.objective, Remaining: timeLeft}})
+	c, err := g.pick(now, pickOptions{tried: q.tried[need.Shard], hedge: need.Hedge, region: q.farRegion, probeEvery: q.probeInterval(), homes: q.entry.HomeRegions, timeBudget: replica.TimeBudget{Objective: q.objective, Remaining: timeLeft}})
 	if err != nil {
 		q.deferShard(need, err, now)
 		return attempt{}, false
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -177,9 +177,9 @@
 }
 
 // update replaces the registered servers. It returns the servers that were restarted under their
-// previous identifiers, and the processes that ended without having drained. shares returns this
-// host's share of a server.
-func (f *fleet) update(servers []discovery.Server, shares func(discovery.Server) control.Share, now time.Time) (restarted, ended []discovery.Server) {
+// previous identifiers, and the processes that crashed or otherwise ended without having drained.
+// shares returns this host's share of a server.
+func (f *fleet) update(servers []discovery.Server, shares func(discovery.Server) control.Share, now time.Time) (restarted, crashed []discovery.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	previous := f.byID
@@ -193,7 +193,7 @@
 			old = nil
 			restarted = append(restarted, s)
 			if s.Replaces(previous[s.ID].Server) {
-				ended = append(ended, previous[s.ID].Server)
+				crashed = append(crashed, previous[s.ID].Server)
 			}
 		}
 		b := newBackend(old, s, f.location, shares(s), now)
@@ -209,7 +209,7 @@
 		if f.byID[id] == nil {
 			b.retire(f.groupLocked(b.Service))
 			if !b.Draining {
-				ended = append(ended, b.Server)
+				crashed = append(crashed, b.Server)
 			}
 		}
 	}
@@ -219,7 +219,7 @@
 	for service, g := range f.groups {
 		g.setMembers(members[service], evacuated[service])
 	}
-	return restarted, ended
+	return restarted, crashed
 }
 
 // processName returns a name for one process of a server.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,7 +35,7 @@
 type Gateway struct {
 	name        string
 	settings    *settingspb.Gateway
-	edges       Adapters
+	adapters    Adapters
 	log         zerolog.Logger
 	self        *relaypb.Host
 	fleet       *fleet
@@ -57,12 +57,12 @@
 }
 
 // New returns a gateway that serves once Start is called.
-func New(settings *settingspb.Gateway, edges Adapters, log zerolog.Logger) *Gateway {
+func New(settings *settingspb.Gateway, adapters Adapters, log zerolog.Logger) *Gateway {
 	h := settings.GetHost()
 	loc := location{name: h.GetName(), domain: h.GetFailureDomain(), region: h.GetRegion(), regions: parseRegions(h.GetRegions())}
 	f := newFleet(loc, settings.GetRetry().GetWindow().AsDuration())
 	g := &Gateway{
-		name: h.GetName(), settings: settings, edges: edges, log: log, fleet: f,
+		name: h.GetName(), settings: settings, adapters: adapters, log: log, fleet: f,
 		self: &relaypb.Host{
 			Name: h.GetName(), Address: cmp.Or(settings.GetListen().GetPeersAdvertised(), settings.GetListen().GetPeers()), Domain: loc.domain, Region: loc.region,
 			Strength: h.GetCpuShare() * h.GetCpuSpeed(), Packs: true, Whole: true,
@@ -79,7 +79,7 @@
 		Self: g.self, Settings: settings.GetStore(), Seeds: splitList(settings.GetStore().GetSeeds()),
 		RelaysPerDomain: int(settings.GetRelay().GetHostsPerDomain()),
 		ColdBound:       limit.ColdBound{Factor: settings.GetCold().GetExcess(), Slack: settings.GetCold().GetSlack()},
-		Store:           edges.Store, Peers: edges.Peers, Listener: controlListener{g}, Suspended: edges.Suspended, Log: log,
+		Store:           adapters.Store, Peers: adapters.Peers, Listener: controlListener{g}, Suspended: adapters.Suspended, Log: log,
 	})
 	g.peerHealth = g.control.Health()
 	return g
@@ -102,20 +102,20 @@
 
 // ServersChanged implements control.Listener.
 func (l controlListener) ServersChanged(servers []discovery.Server, shares func(discovery.Server) control.Share, now time.Time) {
-	restarted, ended := l.gateway.fleet.update(servers, shares, now)
-	for _, s := range ended {
+	restarted, crashed := l.gateway.fleet.update(servers, shares, now)
+	for _, s := range crashed {
 		l.gateway.guard.ServerCrashed(processName(s), s.ID, s.Service, now)
 	}
 	for _, server := range restarted {
 		l.gateway.requestLog.servers.Info().Str("server", server.ID).Str("service", server.Service).Int64("born", server.StartedAtMillis).Msg("server restarted: earlier observations discarded")
-		go l.gateway.edges.Backends.CloseIdle(server)
+		go l.gateway.adapters.Backends.CloseIdle(server)
 	}
 	l.gateway.fleet.setShares(shares, now)
 }
 
 // ServerExpired implements control.Listener.
 func (l controlListener) ServerExpired(server discovery.Server) {
-	go l.gateway.edges.Backends.CloseIdle(server)
+	go l.gateway.adapters.Backends.CloseIdle(server)
 }
 
 // TableChanged implements control.Listener.
@@ -136,7 +136,7 @@
 	l.gateway.suspensions.add(duration)
 	go func() {
 		for _, server := range l.gateway.fleet.servers() {
-			l.gateway.edges.Backends.CloseIdle(server)
+			l.gateway.adapters.Backends.CloseIdle(server)
 		}
 	}()
 }
@@ -201,11 +201,11 @@
 // Ready reports whether the load balancer should send requests to this host.
 func (g *Gateway) Ready() bool { return g.control.View().Ready }
 
-// Stopping reports whether a planned stop has begun.
+// Stopping reports whether a graceful shutdown has begun.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
 
-// BeginStop begins a planned stop: the host reports itself not ready and withdraws from its peers.
-// Requests that still arrive are served.
+// BeginStop begins a graceful shutdown: the host reports itself not ready and withdraws from its
+// peers. Requests that still arrive are served.
 func (g *Gateway) BeginStop(ctx context.Context) {
 	g.stopping.Store(true)
 	g.control.BeginStop(ctx)
@@ -214,8 +214,8 @@
 // InFlight returns the number of requests being served for callers and peers.
 func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-// WaitDrained waits until no request is in flight or ctx is done, and returns the number of requests
-// still in flight.
+// WaitDrained waits until no request is in flight or ctx is done, and returns the number of
+// requests still in flight.
 func (g *Gateway) WaitDrained(ctx context.Context) int {
 	const pollEvery = 10 * time.Millisecond
 	for g.InFlight() > 0 && ctx.Err() == nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -254,7 +254,7 @@
 		"none":    func(*cluster, *Gateway) {},
 		"cut off": func(cl *cluster, leader *Gateway) { cl.peers.cutOff(leader) },
 		"cut from the store": func(cl *cluster, leader *Gateway) {
-			leader.edges.Store.(*fakestore.Partitioned).Cut.Store(true)
+			leader.adapters.Store.(*fakestore.Partitioned).Cut.Store(true)
 		},
 		"leaves": func(cl *cluster, leader *Gateway) { leader.BeginStop(cl.ctx) },
 	} {
@@ -276,14 +276,14 @@
 func TestFollowerOfACutLeaderLearnsAfterACompaction(t *testing.T) {
 	withCluster(t, shardedConfig(1, 1), serversOf([]string{"single"}, "a1"), oneRegion, func(cl *cluster) {
 		for _, name := range []string{"host1", "host2", "host3"} {
-			cl.hosts[name].edges.Store.(*fakestore.Partitioned).Cut.Store(true)
+			cl.hosts[name].adapters.Store.(*fakestore.Partitioned).Cut.Store(true)
 		}
 		follower := cl.hosts["host4"]
-		follower.edges.Store.(*fakestore.Partitioned).Cut.Store(true)
+		follower.adapters.Store.(*fakestore.Partitioned).Cut.Store(true)
 		time.Sleep(3 * time.Second)
 		cl.store.PutConfig(shardedConfig(2, 1))
 		cl.store.Compact()
-		follower.edges.Store.(*fakestore.Partitioned).Cut.Store(false)
+		follower.adapters.Store.(*fakestore.Partitioned).Cut.Store(false)
 		took := waitUntil(cl, 10*time.Second, func() bool {
 			table := follower.control.View().Table
 			return table != nil && table.Version() == 2
@@ -402,10 +402,10 @@
 func TestHostsDoNotGoBackToOneThatLostTheStore(t *testing.T) {
 	first := settingsOf(t, hostSpec{"host0", "a1", "a"})
 	withCluster(t, shardedConfig(1, 1), serversOf([]string{"single"}, "a1"), oneRegion, func(cl *cluster) {
-		parted := &fakestore.Partitioned{Store: cl.store}
-		cl.startOn(first, parted)
+		partitioned := &fakestore.Partitioned{Store: cl.store}
+		cl.startOn(first, partitioned)
 		time.Sleep(10 * time.Second)
-		parted.Cut.Store(true)
+		partitioned.Cut.Store(true)
 		before := cl.store.Calls.Load()
 		time.Sleep(10 * time.Second)
 		calls := cl.store.Calls.Load() - before
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -253,12 +253,12 @@
 	withCluster(t, shardedConfig(1, 1), serversOf([]string{"shard0"}, "a1"), oneHost, func(cl *cluster) {
 		f := cl.hosts["host1"].fleet
 		b, g := f.server("shard0@a1"), f.group("shard0")
-		due := replica.TimeBudget{Objective: 100 * time.Millisecond, Remaining: 50 * time.Millisecond}
-		first, err := g.takeSlot(b, due, time.Now())
+		timeBudget := replica.TimeBudget{Objective: 100 * time.Millisecond, Remaining: 50 * time.Millisecond}
+		first, err := g.takeSlot(b, timeBudget, time.Now())
 		assert.NilError(t, err)
 		first.end(callEnd{result: callServed, elapsed: shardServiceTime, atServer: shardServiceTime, load: Load{Known: true}}, time.Now())
 		time.Sleep(5 * time.Second)
-		_, err = g.takeSlot(b, due, time.Now())
+		_, err = g.takeSlot(b, timeBudget, time.Now())
 		assert.NilError(t, err)
 		_, run := g.soonest(nil, time.Now())
 		assert.Equal(t, run, shardServiceTime)
--- a/internal/gateway/pick.go
+++ b/internal/gateway/pick.go
@@ -37,8 +37,8 @@
 	region string
 	// probeEvery is the interval at which an avoided server gets a request of this kind.
 	probeEvery time.Duration
-	// due is when the part is needed.
-	due replica.TimeBudget
+	// timeBudget is when the part is needed.
+	timeBudget replica.TimeBudget
 	// homes are the regions whose servers may see the request.
 	homes route.HomeRegions
 }
@@ -70,7 +70,7 @@
 	if i == replica.None {
 		return nil, errNoSlot
 	}
-	if wait, late := g.set.WouldBeLate(i, opts.due, now); late {
+	if wait, late := g.set.WouldBeLate(i, opts.timeBudget, now); late {
 		return nil, &tooLateError{wait: wait}
 	}
 	if !g.set.Acquire(i, now) {
@@ -104,7 +104,7 @@
 }
 
 // takeSlot takes a slot on the given server.
-func (g *group) takeSlot(b *backend, due replica.TimeBudget, now time.Time) (*call, error) {
+func (g *group) takeSlot(b *backend, timeBudget replica.TimeBudget, now time.Time) (*call, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	i := g.indexOf(b.leaf)
@@ -115,7 +115,7 @@
 	if g.set.AbsentMask(now)&(1<<i) != 0 {
 		return nil, &absentError{wait: g.set.NextRetry(^uint64(1<<i), now)}
 	}
-	if wait, late := g.set.WouldBeLate(i, due, now); late {
+	if wait, late := g.set.WouldBeLate(i, timeBudget, now); late {
 		return nil, &tooLateError{wait: wait}
 	}
 	if !b.leaf.Slots.Free(now) {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -74,12 +74,12 @@
 	for _, path := range []string{"/q/poison", "/one/poison", "/once/poison"} {
 		t.Run(path, func(t *testing.T) {
 			withBarredRequest(t, path, func(cl *cluster, cs *crashingServers) {
-				ended := cs.crashCount()
+				crashes := cs.crashCount()
 				for _, host := range fourHostNames {
 					cl.assertBarred(host, path)
 				}
-				assert.Equal(cl.t, cs.crashCount(), ended)
-				assert.Assert(cl.t, ended <= 5, "%d crashes", ended)
+				assert.Equal(cl.t, cs.crashCount(), crashes)
+				assert.Assert(cl.t, crashes <= 5, "%d crashes", crashes)
 			})
 		})
 	}
@@ -90,7 +90,7 @@
 	again := settingsOfAll(t, fourHosts)
 	late := settingsOf(t, hostSpec{"late9", "a1", "a"})
 	withBarredRequest(t, "/q/poison", func(cl *cluster, cs *crashingServers) {
-		ended := cs.crashCount()
+		crashes := cs.crashCount()
 		cl.start(late)
 		time.Sleep(time.Second)
 		cl.assertBarred("late9", "/q/poison")
@@ -105,7 +105,7 @@
 		for _, host := range fourHostNames {
 			cl.assertBarred(host, "/q/poison")
 		}
-		assert.Equal(cl.t, cs.crashCount(), ended)
+		assert.Equal(cl.t, cs.crashCount(), crashes)
 	})
 }
 
@@ -126,9 +126,9 @@
 		store.Cut.Store(false)
 		cl.peers.setCut(g, false)
 		time.Sleep(propagationTime)
-		ended := cs.crashCount()
+		crashes := cs.crashCount()
 		cl.assertBarred("host9", "/q/poison")
-		assert.Equal(cl.t, cs.crashCount(), ended)
+		assert.Equal(cl.t, cs.crashCount(), crashes)
 	})
 }
 
@@ -140,8 +140,8 @@
 		cs := newCrashingServers(cl, servers)
 		cl.store.SetDown(true)
 		cl.askUntilBarred([]string{"host1"}, "/q/poison")
-		ended := cs.crashCount()
-		assert.Assert(cl.t, ended <= 5, "%d crashes", ended)
+		crashes := cs.crashCount()
+		assert.Assert(cl.t, crashes <= 5, "%d crashes", crashes)
 		time.Sleep(3 * time.Second)
 		cl.assertBarred("host1", "/q/poison")
 		cl.store.SetDown(false)
@@ -149,7 +149,7 @@
 		for _, host := range fourHostNames {
 			cl.assertBarred(host, "/q/poison")
 		}
-		assert.Equal(cl.t, cs.crashCount(), ended)
+		assert.Equal(cl.t, cs.crashCount(), crashes)
 	})
 }
 
@@ -158,14 +158,14 @@
 func TestBarredRequestIsTriedAgain(t *testing.T) {
 	withBarredRequest(t, "/q/poison", func(cl *cluster, cs *crashingServers) {
 		time.Sleep(barredRetryAfter)
-		ended := cs.crashCount()
+		crashes := cs.crashCount()
 		for range 3 {
 			for _, host := range fourHostNames {
 				go cl.ask(host, "/q/poison")
 			}
 			time.Sleep(time.Second)
 		}
-		assert.Equal(cl.t, cs.crashCount(), ended+1, "one trial at one server must be made")
+		assert.Equal(cl.t, cs.crashCount(), crashes+1, "one trial at one server must be made")
 		cs.fix()
 		time.Sleep(20 * barredRetryAfter)
 		for _, host := range fourHostNames {
--- a/internal/gateway/query.go
+++ b/internal/gateway/query.go
@@ -77,10 +77,10 @@
 	stopCalls context.CancelFunc
 	// barChanged is closed when some request becomes barred.
 	barChanged <-chan struct{}
-	// choice decides which scarce shards are asked; leftOut lists the shards that are currently not
+	// askOrder decides which scarce shards are asked; leftOut lists the shards that are currently not
 	// asked.
-	choice  *scarcity.AskOrder
-	leftOut []int
+	askOrder *scarcity.AskOrder
+	leftOut  []int
 	// tried holds, by shard, the identifiers of the servers that were sent the request.
 	tried [][]string
 	// skipReasons holds, by shard, why it was not asked when it was last considered.
@@ -95,11 +95,11 @@
 	mayHaveRun bool
 	// reply is the best reply so far to a request that is not a query.
 	reply *Reply
-	// trial tracks servers that exit while running the request.
+	// trial tracks servers that crash while running the request.
 	trial trial
 	// absence tracks shards at whose servers nothing listened.
 	absence absenceCheck
-	// failure is the reason of the last failed attempt and code its cause.
+	// failure is the reason of the last failed attempt and cause its cause for metrics.
 	failure string
 	cause   Cause
 }
@@ -132,10 +132,10 @@
 	// without its wait there; 0 is unknown.
 	load    Load
 	runTime time.Duration
-	// serverEnded reports that the call failed and its server exited; connectionLost, that the call
+	// serverCrashed reports that the call failed and its server crashed; connectionLost, that the call
 	// failed and only its connection is known to be gone; barred, that the relay did not send the
 	// request because it knows it to be barred.
-	serverEnded, connectionLost, barred bool
+	serverCrashed, connectionLost, barred bool
 }
 
 // run makes attempts until the request is answered, refused or timed out.
@@ -322,8 +322,8 @@
 	q.cause = CauseServerFailed
 	q.mayHaveRun = true
 	switch {
-	case r.serverEnded:
-		q.noteServerEnded(r, time.Now())
+	case r.serverCrashed:
+		q.noteServerCrashed(r, time.Now())
 	case r.connectionLost:
 		q.noteConnectionLost(r)
 	}
@@ -394,9 +394,9 @@
 	return names
 }
 
-// finish reports servers that exited while running the query and completes the trace for the log.
+// finish reports servers that crashed while running the query and completes the trace for the log.
 func (q *query) finish(a Answer) Answer {
-	q.reportEnds(time.Now())
+	q.reportCrashes(time.Now())
 	q.reportBrokenCalls(time.Now())
 	q.trace.limit = q.end.Sub(q.request.Arrived)
 	if q.entry.Query == nil {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -49,7 +49,7 @@
 	request := requestFromPeer(m)
 	results := make(chan indexedResult, len(m.GetServerIds()))
 	timeout := time.Duration(m.GetTimeoutUs()) * time.Microsecond
-	due := dueFromRequest(m)
+	timeBudget := timeBudgetFromRequest(m)
 	barred := !m.GetTrial() && g.isBarred(request)
 	callCtx, stopCalls := context.WithCancel(ctx)
 	defer stopCalls()
@@ -63,7 +63,7 @@
 			continue
 		}
 		go func() {
-			results <- indexedResult{i, g.callForPeer(callCtx, id, request, timeout, due, m.GetWhole() && !m.GetRepeatable())}
+			results <- indexedResult{i, g.callForPeer(callCtx, id, request, timeout, timeBudget, m.GetWhole() && !m.GetRepeatable())}
 		}()
 	}
 	started := time.Now()
@@ -127,8 +127,8 @@
 	return g.guard.Active() && g.guard.Standing(fingerprint(r)) == quarantine.Barred
 }
 
-// relaySuspicion tracks servers that exited while running a relayed request. The relay does not see
-// servers that ran the request elsewhere, so it only stops its own calls.
+// relaySuspicion tracks servers that crashed while running a relayed request. The relay does not
+// see servers that ran the request elsewhere, so it only stops its own calls.
 type relaySuspicion struct{ quarantine.Suspicion }
 
 // noteResult records a result and reports whether the calls in flight must be stopped.
@@ -136,7 +136,7 @@
 	if r.outcome == relaypb.Outcome_PART {
 		s.Served()
 	}
-	if !r.serverEnded {
+	if !r.serverCrashed {
 		return false
 	}
 	stop, _ := s.Crashed(quarantine.Crash{Server: r.server}, now)
@@ -170,7 +170,7 @@
 	result := &relaypb.CallResult{
 		Index: uint32(indexed.index), Outcome: r.outcome, Signature: r.signature,
 		ElapsedUs: uint64(r.elapsed.Microseconds()), Reason: r.reason, Waiting: uint32(r.load.Waiting),
-		SlownessPercent: uint32(math.Round(100 * r.load.Slowness)), Unreachable: r.unreachable, ServerEnded: r.serverEnded, BrokeOff: r.connectionLost, Barred: r.barred, Absent: r.absent, WaitUs: uint64(r.wait.Microseconds()),
+		SlownessPercent: uint32(math.Round(100 * r.load.Slowness)), Unreachable: r.unreachable, ServerEnded: r.serverCrashed, BrokeOff: r.connectionLost, Barred: r.barred, Absent: r.absent, WaitUs: uint64(r.wait.Microseconds()),
 	}
 	if g.whole && r.reply != nil {
 		result.Reply = encodeReply(r.reply)
@@ -217,9 +217,9 @@
 	return reply
 }
 
-// dueFromRequest returns when a peer needs the parts. Peers of the previous version do not say; for
-// them no call is too late.
-func dueFromRequest(m *relaypb.GatherRequest) replica.TimeBudget {
+// timeBudgetFromRequest returns when a peer needs the parts. Peers of the previous version do not
+// say; for them no call is too late.
+func timeBudgetFromRequest(m *relaypb.GatherRequest) replica.TimeBudget {
 	if m.GetDueUs() == 0 {
 		return replica.TimeBudget{Objective: time.Hour, Remaining: time.Hour}
 	}
@@ -230,12 +230,12 @@
 }
 
 // callForPeer calls one server for a peer.
-func (g *Gateway) callForPeer(ctx context.Context, id string, r *Request, timeout time.Duration, due replica.TimeBudget, freshConn bool) result {
+func (g *Gateway) callForPeer(ctx context.Context, id string, r *Request, timeout time.Duration, timeBudget replica.TimeBudget, freshConn bool) result {
 	b, servers := g.findServer(id)
 	if b == nil {
 		return result{outcome: relaypb.Outcome_NOT_SENT, reason: "the relay does not know the server"}
 	}
-	c, err := servers.takeSlotWithRetry(ctx, b, due)
+	c, err := servers.takeSlotWithRetry(ctx, b, timeBudget)
 	if err != nil {
 		out := result{outcome: relaypb.Outcome_NOT_SENT, reason: err.Error()}
 		var late *tooLateError
@@ -257,12 +257,12 @@
 // takeSlotWithRetry takes a slot on a server, retrying a few times if none is free. It polls
 // instead of queueing, because a request that is committed to one server early completes later than
 // one sent to the first server that becomes free.
-func (g *group) takeSlotWithRetry(ctx context.Context, b *backend, due replica.TimeBudget) (*call, error) {
-	c, err := g.takeSlot(b, due, time.Now())
+func (g *group) takeSlotWithRetry(ctx context.Context, b *backend, timeBudget replica.TimeBudget) (*call, error) {
+	c, err := g.takeSlot(b, timeBudget, time.Now())
 	for retries := 0; errors.Is(err, errNoSlot) && retries < maxSlotRetries; retries++ {
 		pause.Sleep(ctx, slotRetryDelay)
-		due.Remaining -= slotRetryDelay
-		c, err = g.takeSlot(b, due, time.Now())
+		timeBudget.Remaining -= slotRetryDelay
+		c, err = g.takeSlot(b, timeBudget, time.Now())
 	}
 	return c, err
 }
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -36,10 +36,10 @@
 	relayed                        int
 	// rank is the rank of the route; 0 is the highest.
 	rank uint32
-	// wait is the expected wait at the servers and chance the probability of admission that
+	// wait is the expected wait at the servers and probability the probability of admission that
 	// resulted.
-	wait   time.Duration
-	chance float64
+	wait        time.Duration
+	probability float64
 	// limit is how long the query could take from its arrival.
 	limit time.Duration
 	// servers lists the servers that were sent a request that is not a query.
@@ -47,7 +47,7 @@
 	// missing lists the shards that are not in the answer, with the servers that were sent the
 	// request.
 	missing []string
-	// fingerprint is the fingerprint of a request that made servers exit; empty for others.
+	// fingerprint is the fingerprint of a request that made servers crash; empty for others.
 	fingerprint string
 	notes       []string
 	dropped     int
@@ -103,7 +103,7 @@
 		e = e.Int("parts", len(a.Gathered.Signatures)).Int("missing", a.Gathered.Missing)
 	}
 	if t.wait > 0 {
-		e = e.Dur("expected_wait", t.wait).Float64("chance", t.chance)
+		e = e.Dur("expected_wait", t.wait).Float64("chance", t.probability)
 	}
 	if t.fingerprint != "" {
 		e = e.Str("fingerprint", t.fingerprint)
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -112,7 +112,7 @@
 		time.Sleep(3 * time.Second)
 		ctx, cancel := context.WithCancel(cl.ctx)
 		defer cancel()
-		cl.hosts["host1"].edges.Store.(*fakestore.Partitioned).Cut.Store(true)
+		cl.hosts["host1"].adapters.Store.(*fakestore.Partitioned).Cut.Store(true)
 		cl.peers.cutOff(cl.hosts["host1"])
 		drained := discovery.Server{ID: servers[0].ID, Service: "single", Address: servers[0].Address, Domain: "a1", Slots: 2, Draining: true}
 		cl.store.PutServer(drained)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -47,20 +47,20 @@
 func (g *Gateway) callOnce(ctx context.Context, c *call, r *Request, timeout time.Duration, freshConn bool) result {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := g.edges.Backends.Call(callCtx, c.backend.Server, r, timeout, freshConn)
+	reply, err := g.adapters.Backends.Call(callCtx, c.backend.Server, r, timeout, freshConn)
 	now := time.Now()
 	elapsed := now.Sub(c.started)
 	out := result{server: c.backend.ID, elapsed: elapsed}
 	c.group.callDuration.Update(elapsed.Seconds())
 	evidence := classify(&out, reply, err, ctx.Err() != nil)
 	if evidence == callFailed && out.outcome == relaypb.Outcome_FAILED && reply == nil && callCtx.Err() == nil {
-		// A lost connection alone does not prove that the server exited: it may have closed an idle
-		// connection, the reply may be lost or the network cut. A server that exited refuses the
+		// A lost connection alone does not prove that the server crashed: it may have closed an idle
+		// connection, the reply may be lost or the network cut. A server that crashed refuses the
 		// next connection.
-		out.serverEnded = g.edges.Backends.HasExited(ctx, c.backend.Server)
-		out.connectionLost = !out.serverEnded && !timedOut(err)
+		out.serverCrashed = g.adapters.Backends.HasExited(ctx, c.backend.Server)
+		out.connectionLost = !out.serverCrashed && !timedOut(err)
 	}
-	change := c.end(callEnd{result: evidence, elapsed: elapsed, atServer: serverTime(out, elapsed), load: out.load, absent: out.absent || out.serverEnded}, now)
+	change := c.end(callEnd{result: evidence, elapsed: elapsed, atServer: serverTime(out, elapsed), load: out.load, absent: out.absent || out.serverCrashed}, now)
 	out.runTime = change.runTime
 	g.logServerChange(c.backend, change, out.reason)
 	if out.load.Unreadable != "" {
@@ -68,7 +68,7 @@
 	}
 	if evidence == callMoved {
 		g.requestLog.servers.Info().Str("server", c.backend.ID).Str("service", c.backend.Service).Msg("address now belongs to another server: no more requests are sent")
-		g.edges.Backends.CloseIdle(c.backend.Server)
+		g.adapters.Backends.CloseIdle(c.backend.Server)
 	}
 	return out
 }
@@ -227,7 +227,7 @@
 	g.peerHealth.CallStarted(relay.Address)
 	silenceTimer := time.AfterFunc(rc.silenceTimeout(request), func() { g.control.Suspect(relay.Address, time.Now()) })
 	err := g.recoverPanic("reply of a relay", request.GetRequestId(), func() error {
-		return g.edges.Peers.Gather(ctx, relay.Address, request, func(reply *relaypb.GatherReply) {
+		return g.adapters.Peers.Gather(ctx, relay.Address, request, func(reply *relaypb.GatherReply) {
 			silenceTimer.Stop()
 			g.peerHealth.Answered(relay.Address)
 			rc.handleReply(reply)
@@ -280,7 +280,7 @@
 	out := result{
 		shard: a.shard, outcome: r.GetOutcome(), signature: r.GetSignature(),
 		server: a.call.backend.ID, reason: r.GetReason(), elapsed: elapsed,
-		serverEnded: r.GetServerEnded(), connectionLost: r.GetBrokeOff(), barred: r.GetBarred(),
+		serverCrashed: r.GetServerEnded(), connectionLost: r.GetBrokeOff(), barred: r.GetBarred(),
 		unreachable: r.GetUnreachable(), absent: r.GetAbsent(), wait: time.Duration(r.GetWaitUs()) * time.Microsecond,
 	}
 	if reply := r.GetReply(); reply != nil {
@@ -300,7 +300,7 @@
 	}
 	atServer := time.Duration(r.GetElapsedUs()) * time.Microsecond
 	out.load = Load{Known: evidence == callServed || evidence == callRefused, Waiting: int(r.GetWaiting()), Slowness: float64(r.GetSlownessPercent()) / 100}
-	change := a.call.end(callEnd{result: evidence, elapsed: elapsed, atServer: serverTime(out, atServer), load: out.load, absent: out.absent || out.serverEnded}, now)
+	change := a.call.end(callEnd{result: evidence, elapsed: elapsed, atServer: serverTime(out, atServer), load: out.load, absent: out.absent || out.serverCrashed}, now)
 	out.runTime = change.runTime
 	rc.query.gateway.logServerChange(a.call.backend, change, out.reason)
 	if evidence == callServed {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -149,7 +149,7 @@
 		settings.Top = entry.Query.Top
 		settings.MinShare = entry.Query.MinShare
 		settings.AnswerAt = g.answerAt(r, objective)
-		q.choice = scarcity.NewAskOrder(settings.Shards, newRNG())
+		q.askOrder = scarcity.NewAskOrder(settings.Shards, newRNG())
 		q.farRegion = v.RandomRemoteRegion()
 	}
 	if !entry.Idempotent {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -25,11 +25,12 @@
 	maxIdleTime = 5 * time.Minute
 	// idleSweepInterval is the interval between checks for idle connections.
 	idleSweepInterval = time.Second
-	// closeTimeout limits the time to close the remaining listeners at the end of a planned stop.
+	// closeTimeout limits the time to close the remaining listeners at the end of a graceful shutdown.
 	closeTimeout = 300 * time.Millisecond
 )
 
-// ErrRequestsAborted is returned by Run if a planned stop aborted requests that were in flight.
+// ErrRequestsAborted is returned by Run if a graceful shutdown aborted requests that were in
+// flight.
 var ErrRequestsAborted = errors.New("requests were cut off: raise drain_timeout in [shutdown]")
 
 // Handlers are the HTTP handlers and the periodic task of the platform adapter.
@@ -47,8 +48,8 @@
 	idle                    *idleConns
 }
 
-// Run serves until stop is closed and then performs a planned stop. It returns ErrRequestsAborted if that
-// aborted requests in flight.
+// Run serves until stop is closed and then performs a graceful shutdown. It returns
+// ErrRequestsAborted if that aborted requests in flight.
 func (g *Gateway) Run(stop <-chan struct{}, h Handlers) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -17,7 +17,7 @@
 	// again.
 	trialPollInterval = 20 * time.Millisecond
 	// maxFailedTrials is the number of failed trials after which a query ends although no server is
-	// known to have exited. A single lost reply is not sufficient.
+	// known to have crashed. A single lost reply is not sufficient.
 	maxFailedTrials = 3
 	// barredRetryAfter is when a caller whose request is barred may retry: before the first
 	// probation ends, only an operator can clear the request.
@@ -41,7 +41,7 @@
 	// trial.
 	shard   int
 	servers []string
-	// brokenCalls lists lost connections whose servers are not known to have exited; failedTrials
+	// brokenCalls lists lost connections whose servers are not known to have crashed; failedTrials
 	// counts those on trial.
 	brokenCalls  []quarantine.Crash
 	failedTrials int
@@ -123,7 +123,7 @@
 }
 
 // launchTrial sends the query to one server alone, unless a trial is running. A late trial is
-// hedged like any other attempt. No trial starts beside other calls of the query: the exit of a
+// hedged like any other attempt. No trial starts beside other calls of the query: the crash of a
 // server would then prove nothing, and might cost other callers the last server of a shard. If the
 // query is harmless those calls bring a part, and the held attempts follow at once.
 func (q *query) launchTrial(ctx context.Context, now time.Time) {
@@ -167,63 +167,63 @@
 	q.trial.heldShards = nil
 }
 
-// noteServerEnded records that a server exited while running the query.
-func (q *query) noteServerEnded(r result, now time.Time) {
+// noteServerCrashed records that a server crashed while running the query.
+func (q *query) noteServerCrashed(r result, now time.Time) {
 	q.trace.fingerprint = q.fingerprint().String()
-	end := q.endRecord(r)
-	q.gateway.guard.LogCrash(q.fingerprint(), q.request.ID, r.server, q.groups[r.shard].service, r.elapsed, r.reason, end)
-	stop, trialEnded := q.trial.Crashed(end, now)
+	crash := q.crashRecord(r)
+	q.gateway.guard.LogCrash(q.fingerprint(), q.request.ID, r.server, q.groups[r.shard].service, r.elapsed, r.reason, crash)
+	stop, trialEnded := q.trial.Crashed(crash, now)
 	if stop {
 		q.stopCalls()
-		q.reportEnds(now) // A repeat at another host may arrive before the trial ends.
+		q.reportCrashes(now) // A repeat at another host may arrive before the trial ends.
 	}
 	if trialEnded {
 		q.trial.DelayTrial(rand.N(quarantine.MaxTrialJitter))
-		q.reportEnds(now)
+		q.reportCrashes(now)
 	}
 }
 
-// endRecord returns the quarantine entry for a server that exited or lost its connection while
+// crashRecord returns the quarantine entry for a server that crashed or lost its connection while
 // running the query.
-func (q *query) endRecord(r result) quarantine.Crash {
-	end := quarantine.Crash{Server: r.server, OnTrial: slices.Contains(q.trial.servers, r.server)}
+func (q *query) crashRecord(r result) quarantine.Crash {
+	crash := quarantine.Crash{Server: r.server, OnTrial: slices.Contains(q.trial.servers, r.server)}
 	if b := q.gateway.fleet.server(r.server); b != nil {
-		end.Server, end.Version = processName(b.Server), b.Version
+		crash.Server, crash.Version = processName(b.Server), b.Version
 	}
-	return end
+	return crash
 }
 
-// noteConnectionLost records a lost connection to a server that is not known to have exited.
+// noteConnectionLost records a lost connection to a server that is not known to have crashed.
 func (q *query) noteConnectionLost(r result) {
-	end := q.endRecord(r)
-	if len(q.trial.brokenCalls) < quarantine.MaxListed || end.OnTrial {
-		q.trial.brokenCalls = append(q.trial.brokenCalls, end)
+	crash := q.crashRecord(r)
+	if len(q.trial.brokenCalls) < quarantine.MaxListed || crash.OnTrial {
+		q.trial.brokenCalls = append(q.trial.brokenCalls, crash)
 	}
-	if end.OnTrial {
+	if crash.OnTrial {
 		q.trial.failedTrials++
 	}
 }
 
 // trialsExhausted reports whether too many trials of the query failed without any server serving
-// it. Whether their servers exited is learned later from the store.
+// it. Whether their servers crashed is learned later from the store.
 func (q *query) trialsExhausted() bool {
 	return q.trial.failedTrials >= maxFailedTrials && q.trial.OnTrial()
 }
 
 // reportBrokenCalls hands lost connections to the guard, which learns from the store whether their
-// servers exited. It does nothing if a server served the query.
+// servers crashed. It does nothing if a server served the query.
 func (q *query) reportBrokenCalls(now time.Time) {
 	if len(q.trial.brokenCalls) == 0 || q.trial.WasServed() {
 		return
 	}
-	for _, end := range q.trial.brokenCalls {
-		q.gateway.guard.AddBrokenCall(quarantine.BrokenCall{Fingerprint: q.fingerprint(), Crash: end, Description: describe(q.request, q.entry.Name), At: now})
+	for _, crash := range q.trial.brokenCalls {
+		q.gateway.guard.AddBrokenCall(quarantine.BrokenCall{Fingerprint: q.fingerprint(), Crash: crash, Description: describe(q.request, q.entry.Name), At: now})
 	}
 }
 
-// reportEnds tells all hosts about the servers that exited while running the query since it was
+// reportCrashes tells all hosts about the servers that crashed while running the query since it was
 // last served.
-func (q *query) reportEnds(now time.Time) {
+func (q *query) reportCrashes(now time.Time) {
 	record, ok := q.trial.TakeReport()
 	if !ok {
 		return
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -212,7 +212,7 @@
 
 func (f *fakeLeafs) CloseIdle(discovery.Server) {}
 
-// HasExited implements Leafs. It reports what setExited has set.
+// HasExited implements BackendClient. It reports what setExited has set.
 func (f *fakeLeafs) HasExited(_ context.Context, s discovery.Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -220,10 +220,10 @@
 }
 
 // setExited sets whether the process of a server has exited.
-func (f *fakeLeafs) setExited(id string, ended bool) {
+func (f *fakeLeafs) setExited(id string, exited bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.exited[id] = ended
+	f.exited[id] = exited
 }
 
 // set sets the behaviour of a server or of all servers of a service; nil restores the default.
--- a/internal/guard/doc.go
+++ b/internal/guard/doc.go
@@ -5,8 +5,8 @@
 //   - No fingerprint needs to be computed while the book is empty.
 //   - A record of this host is in its book before it is written to the store. A record from the
 //     store replaces the previous one of that host.
-//   - Every request that becomes barred closes the channel of News and is logged, whether the
-//     cause is a record of the request, a change of another request to which its crashes were
+//   - Every request that becomes barred closes the channel of BarredSignal and is logged, whether
+//     the cause is a record of the request, a change of another request to which its crashes were
 //     attributed, or the passing of time. For this, each operation ends by publishing the changes
 //     that the book returns.
 package guard
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -135,38 +135,38 @@
 	return all
 }
 
-// AddLocal adds what this host observed of a request to its record, writes the record to the store, and
-// returns the standing of the request.
+// AddLocal adds what this host observed of a request to its record, writes the record to the store,
+// and returns the standing of the request.
 func (g *Guard) AddLocal(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) quarantine.Standing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.noteLocked(f, seen, now)
+	g.addLocked(f, seen, now)
 	return g.book.Standing(f)
 }
 
-// noteLocked implements Note. The caller must hold g.mu.
-func (g *Guard) noteLocked(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) {
+// addLocked implements AddLocal. The caller must hold g.mu.
+func (g *Guard) addLocked(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) {
 	record := g.book.AddLocal(f, seen, now)
 	g.publishChanges(g.host)
 	g.storeRecord(f, record)
 }
 
-// AddBrokenCall records that the connection of a call broke, in a query that no server served. The registry
-// entry of the server may show later that it crashed.
+// AddBrokenCall records that the connection of a call broke, in a query that no server served. The
+// registry entry of the server may show later that it crashed.
 func (g *Guard) AddBrokenCall(c quarantine.BrokenCall) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.brokenCalls.Add(c)
 }
 
-// ServerCrashed records that the process of a server ended without draining. The recent broken calls
-// to it are counted as crashes.
+// ServerCrashed records that the process of a server ended without draining. The recent broken
+// calls to it are counted as crashes.
 func (g *Guard) ServerCrashed(process, server, service string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, c := range g.brokenCalls.Take(process, now) {
 		g.LogCrash(c.Fingerprint, "", server, service, now.Sub(c.At), "the connection broke, and the registry entry shows that the server ended", c.Crash)
-		g.noteLocked(c.Fingerprint, c.Record(), now)
+		g.addLocked(c.Fingerprint, c.Record(), now)
 	}
 }
 
@@ -199,33 +199,33 @@
 func (g *Guard) ApplyEntry(e control.Entry, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	name, err := ApplyEntryTo(g.book, e, now)
+	key, err := ApplyEntryTo(g.book, e, now)
 	if err != nil {
 		g.log.Warn().Err(err).Str("entry", e.Name).Msg("quarantine entry is invalid and ignored")
 		return
 	}
-	g.publishChanges(name.Host)
+	g.publishChanges(key.Host)
 }
 
 // ApplyEntryTo applies an entry of the store to a book, and returns the parsed name of the entry.
 func ApplyEntryTo(book *quarantine.Book, e control.Entry, now time.Time) (quarantine.RecordKey, error) {
-	name, err := quarantine.ParseRecordKey(e.Name)
+	key, err := quarantine.ParseRecordKey(e.Name)
 	if err != nil {
-		return name, err
+		return key, err
 	}
 	switch {
 	case e.Removed:
-		book.RemoveRecord(name, now)
-	case name.Claim != "":
-		book.ApplyClaim(name, now)
+		book.RemoveRecord(key, now)
+	case key.Claim != "":
+		book.ApplyClaim(key, now)
 	default:
 		var record relaypb.QuarantineRecord
 		if err := proto.Unmarshal(e.Value, &record); err != nil {
-			return name, fmt.Errorf("decode quarantine record %s: %w", e.Name, err)
+			return key, fmt.Errorf("decode quarantine record %s: %w", e.Name, err)
 		}
-		book.ApplyRecord(name.Fingerprint, name.Host, decodeRecord(&record), now)
+		book.ApplyRecord(key.Fingerprint, key.Host, decodeRecord(&record), now)
 	}
-	return name, nil
+	return key, nil
 }
 
 // Sweep removes expired requests from the book, and from the store if this host reads the store
@@ -256,8 +256,8 @@
 }
 
 // LogCrash logs and counts the crash of a server while it ran a request.
-func (g *Guard) LogCrash(f quarantine.Fingerprint, request, server, service string, elapsed time.Duration, reason string, end quarantine.Crash) {
+func (g *Guard) LogCrash(f quarantine.Fingerprint, request, server, service string, elapsed time.Duration, reason string, crash quarantine.Crash) {
 	serversEnded.Inc()
-	g.log.Warn().Str("request", request).Stringer("fingerprint", f).Str("server", server).Str("service", service).Str("version", end.Version).
-		Dur("elapsed", elapsed).Str("reason", reason).Bool("trial", end.OnTrial).Msg("server ended with a request: nothing listens at its address")
+	g.log.Warn().Str("request", request).Stringer("fingerprint", f).Str("server", server).Str("service", service).Str("version", crash.Version).
+		Dur("elapsed", elapsed).Str("reason", reason).Bool("trial", crash.OnTrial).Msg("server ended with a request: nothing listens at its address")
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -15,7 +15,7 @@
 	"github.com/mallowgap/mallowgap/quarantine"
 )
 
-// discardStore is a Keeper that discards all records.
+// discardStore is a RecordStore that discards all records.
 type discardStore struct{}
 
 func (discardStore) PutRecord(string, []byte) {}
--- a/internal/home/query.go
+++ b/internal/home/query.go
@@ -103,7 +103,7 @@
 	q.tried = make([]uint64, len(t.shards))
 	q.hedgeAt = make([]time.Time, len(t.shards))
 	q.retryAt = make([]time.Time, len(t.shards))
-	q.service.budget.FirstAttempts(len(t.shards))
+	q.service.budget.AddFirstAttempts(len(t.shards))
 	for i := range t.shards {
 		q.startAttempt(i, obs.First, now)
 	}
@@ -187,14 +187,14 @@
 	if q.gather.Running(shard) > 0 {
 		return
 	}
-	why := scatter.ReasonNone
+	reason := scatter.ReasonNone
 	if q.tried[shard] == 0 {
-		why = scatter.NoReplica
+		reason = scatter.NoReplica
 		if q.excluded(shard) != 0 {
-			why = scatter.SnapshotUnavailable
+			reason = scatter.SnapshotUnavailable
 		}
 	}
-	q.gather.GiveUp(shard, why)
+	q.gather.GiveUp(shard, reason)
 	if q.quarantine.trialShard == shard {
 		q.quarantine.trialShard = noTrialShard
 	}
--- a/internal/home/trial.go
+++ b/internal/home/trial.go
@@ -57,7 +57,8 @@
 	if s.quarantine.Len() == 0 {
 		return state, nil
 	}
-	s.quarantine.RemoveExpired(now) // The returned names matter only to a shared store, and there is none here.
+	// The returned names matter only to a shared store, and there is none here.
+	s.quarantine.RemoveExpired(now)
 	s.signalBarred()
 	f := fingerprint(req)
 	switch s.quarantine.Standing(f) {
--- a/internal/invariant/stop_test.go
+++ b/internal/invariant/stop_test.go
@@ -92,7 +92,7 @@
 	close(stop)
 }
 
-// A planned stop of one host, or of two at once, must not interrupt requests in flight.
+// A graceful shutdown of one host, or of two at once, must not interrupt requests in flight.
 func TestInvariantGracefulStop(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -141,8 +141,8 @@
 	}
 }
 
-// stopHost performs a planned stop: the balancer stops sending after its lag, and the process exits
-// once no request is in flight.
+// stopHost performs a graceful shutdown: the balancer stops sending after its lag, and the process
+// exits once no request is in flight.
 func (cl *cluster) stopHost(i int) {
 	h := cl.daemons[i]
 	cl.sends.Go(func() {
--- a/internal/invariant/world_test.go
+++ b/internal/invariant/world_test.go
@@ -171,11 +171,11 @@
 func (cl *cluster) start(i int) {
 	h := cl.daemons[i]
 	ctx, cancel := context.WithCancel(context.Background())
-	edges := entry.Dependencies{Store: cl.platform, Hosts: cl.platform, Leaves: cl.fleet, Peers: cl.network.Client(h.address)}
+	dependencies := entry.Dependencies{Store: cl.platform, Hosts: cl.platform, Leaves: cl.fleet, Peers: cl.network.Client(h.address)}
 	cl.mu.Lock()
 	h.starts++
 	h.dead, h.leaving, h.lastRevision = false, false, 0
-	h.daemon = entry.New(hostSettings(i), edges, h.starts, zerolog.Nop())
+	h.daemon = entry.New(hostSettings(i), dependencies, h.starts, zerolog.Nop())
 	h.kill = cancel
 	cl.mu.Unlock()
 	cl.network.Serve(h.address, h.daemon)
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -31,7 +31,7 @@
 	Unknown int
 	// NoReply counts the requests that got no reply.
 	NoReply int
-	// Mismatches describes the answers that failed Check.
+	// Mismatches describes the answers that failed CheckAnswer.
 	Mismatches []string
 	// Reasons counts the requests without an answer, by reason.
 	Reasons map[string]int
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -22,7 +22,7 @@
 		r.Executed, r.Shed, r.MaxInFlight, r.MaxConnections)
 }
 
-// Mismatches describes the answers of all classes that failed Check.
+// Mismatches describes the answers of all classes that failed CheckAnswer.
 func (r *Report) Mismatches() []string {
 	var mismatches []string
 	for _, c := range r.Classes {
--- a/internal/obs/counters.go
+++ b/internal/obs/counters.go
@@ -25,25 +25,25 @@
 )
 
 // String returns the metric label of the reason.
-func (a AttemptKind) String() string {
-	return [...]string{"first", "hedge", "retry_failed", "retry_refused", "retry_not_sent", "retry_draining", "retry_snapshot", "probe"}[a]
+func (kind AttemptKind) String() string {
+	return [...]string{"first", "hedge", "retry_failed", "retry_refused", "retry_not_sent", "retry_draining", "retry_snapshot", "probe"}[kind]
 }
 
 // IsExtra reports whether the attempt may execute a request another time.
-func (a AttemptKind) IsExtra() bool { return a != First }
+func (kind AttemptKind) IsExtra() bool { return kind != First }
 
 var attemptCounters = newAttemptCounters()
 
 func newAttemptCounters() []*metrics.Counter {
 	counters := make([]*metrics.Counter, attemptKinds)
-	for a := range attemptKinds {
-		counters[a] = Counter("mallowgap_leaf_attempts_total", "kind", a.String())
+	for kind := range attemptKinds {
+		counters[kind] = Counter("mallowgap_leaf_attempts_total", "kind", kind.String())
 	}
 	return counters
 }
 
 // CountAttempt counts an attempt by its reason.
-func CountAttempt(a AttemptKind) { attemptCounters[a].Inc() }
+func CountAttempt(kind AttemptKind) { attemptCounters[kind].Inc() }
 
 // Counter returns the counter of a metric with one label.
 func Counter(name, label, value string) *metrics.Counter {
@@ -63,8 +63,8 @@
 func CountRefusal(kind string) { Counter("mallowgap_leaf_refusals_total", "kind", kind).Inc() }
 
 // CountExtraDenied counts an extra attempt that the retry budget did not permit.
-func CountExtraDenied(a AttemptKind) {
-	Counter("mallowgap_extra_denied_total", "kind", a.String()).Inc()
+func CountExtraDenied(kind AttemptKind) {
+	Counter("mallowgap_extra_denied_total", "kind", kind.String()).Inc()
 }
 
 // CountPlatformCall counts a call to the platform by its kind and result.
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -62,7 +62,7 @@
 	maxIdleTotal = 512
 )
 
-// DRPCClient calls peers over DRPCClient. It implements Client and is safe for concurrent use.
+// DRPCClient calls peers over DRPC. It implements Client and is safe for concurrent use.
 type DRPCClient struct {
 	pool        *drpcpool.Pool[string, drpcpool.Conn]
 	dialTimeout time.Duration
--- a/internal/standin/shape.go
+++ b/internal/standin/shape.go
@@ -8,8 +8,8 @@
 	"github.com/mallowgap/mallowgap/config"
 )
 
-// ServiceShape describes one service of a deployment. Slots, Connections, Connect
-// and Service are those of each leaf, see LeafOptions.
+// ServiceShape describes one service of a deployment. Slots, Connections, ConnectTime
+// and ServiceTime are those of each leaf, see LeafOptions.
 type ServiceShape struct {
 	Name     string
 	Shards   int
--- a/limit/cold.go
+++ b/limit/cold.go
@@ -26,7 +26,7 @@
 	// PerSecond is the number of requests per second that the server tolerates; 0 means
 	// unknown, without a bound.
 	PerSecond float64
-	// Factor and Slack define the maximum in any second: PerSecond times Excess plus
+	// Factor and Slack define the maximum in any second: PerSecond times Factor plus
 	// Slack requests.
 	Factor, Slack float64
 }
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -135,7 +135,7 @@
 	return ok && l.isRedeemed(sequence)
 }
 
-// Redeem decides whether a request with a ticket may be executed. After Run, the
+// Redeem decides whether a request with a ticket may be executed. After Execute, the
 // caller must call Finish. With Replay, the outcome is returned. With InProgress,
 // the returned channel is closed when the execution ends.
 func (l *Ledger) Redeem(t Ticket, desk, service, request string) (Decision, []byte, <-chan struct{}) {
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -41,7 +41,7 @@
 	histories map[Fingerprint]*history
 	// byServer maps a crashed server to the requests that it ran.
 	byServer map[string]map[Fingerprint]bool
-	// pendingChanges are the changes that Changes has not returned yet.
+	// pendingChanges are the changes that TakeChanges has not returned yet.
 	pendingChanges []Change
 }
 
@@ -64,8 +64,8 @@
 	return r
 }
 
-// ApplyRecord replaces the record of a host. The stored record of this host itself is ignored if it is
-// older than the one in the book.
+// ApplyRecord replaces the record of a host. The stored record of this host itself is ignored if it
+// is older than the one in the book.
 func (b *Book) ApplyRecord(f Fingerprint, host string, r Record, now time.Time) {
 	h := b.historyOf(f, now)
 	if host == b.self && r.Crashes < h.records[host].Crashes {
@@ -79,8 +79,8 @@
 	b.recompute(f, now)
 }
 
-// TrialDeadline returns the time until which another query may have a suspect on trial. A concurrent
-// trial would give no earlier result and might crash another server.
+// TrialDeadline returns the time until which another query may have a suspect on trial. A
+// concurrent trial would give no earlier result and might crash another server.
 func (b *Book) TrialDeadline(f Fingerprint) time.Time {
 	if h := b.histories[f]; h != nil {
 		return h.lastReport.Add(verdictTimeout)
@@ -89,19 +89,19 @@
 }
 
 // ApplyClaim records that a trial was claimed.
-func (b *Book) ApplyClaim(n RecordKey, now time.Time) {
-	b.historyOf(n.Fingerprint, now).claims[n.Claim] = true
+func (b *Book) ApplyClaim(key RecordKey, now time.Time) {
+	b.historyOf(key.Fingerprint, now).claims[key.Claim] = true
 }
 
 // RemoveRecord removes the record of a host, or a claim, that was deleted from the store.
-func (b *Book) RemoveRecord(n RecordKey, now time.Time) {
-	f := n.Fingerprint
+func (b *Book) RemoveRecord(key RecordKey, now time.Time) {
+	f := key.Fingerprint
 	h := b.histories[f]
 	if h == nil {
 		return
 	}
-	delete(h.records, n.Host)
-	delete(h.claims, n.Claim)
+	delete(h.records, key.Host)
+	delete(h.claims, key.Claim)
 	if len(h.records)+len(h.claims) == 0 {
 		b.remove(f)
 		return
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -7,12 +7,12 @@
 // request. A request is on trial when it is sent to one server alone.
 //
 // Invariants:
-//   - A request is barred only after MinCrashes servers crashed while running it, MinTrialCrashes of
-//     them on trial after earlier crashes. The loss of a failure domain ends servers under many
-//     unrelated requests, but these are served on trial.
+//   - A request is barred only after MinCrashes servers crashed while running it, MinTrialCrashes
+//     of them on trial after earlier crashes. The loss of a failure domain crashes servers under
+//     many unrelated requests, but these are served on trial.
 //   - The end of one process is attributed to only one of the requests that it ran.
-//   - Changes returns each change of a standing exactly once, whether it follows from a record of
-//     the request, from the state of another request or from the passing of time.
+//   - TakeChanges returns each change of a standing exactly once, whether it follows from a record
+//     of the request, from the state of another request or from the passing of time.
 //   - A server that serves a request clears it.
 //   - A barred request is sent only on trials that a single host has claimed: at most MaxTrials,
 //     each after a longer probation, and one more when all servers run a version under which
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -23,9 +23,9 @@
 	Body   []byte
 }
 
-// FingerprintOf returns the fingerprint of a request: the first half of a SHA-256 hash, so that collisions
-// cannot be constructed. Hashing a large body is expensive (see BenchmarkOf), so callers do it only
-// while some request is suspect or barred, or after a crash.
+// FingerprintOf returns the fingerprint of a request: the first half of a SHA-256 hash, so that
+// collisions cannot be constructed. Hashing a large body is expensive (see BenchmarkOf), so callers
+// do it only while some request is suspect or barred, or after a crash.
 func FingerprintOf(c Content) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -107,10 +107,10 @@
 		if !due {
 			return ""
 		}
-		n, err := ParseRecordKey(name)
+		key, err := ParseRecordKey(name)
 		assert.NilError(t, err)
-		b.ApplyClaim(n, start.Add(after))
-		return n.Claim
+		b.ApplyClaim(key, start.Add(after))
+		return key.Claim
 	}
 	assert.Equal(t, claim(FirstProbation-1, "1"), "")
 	assert.Equal(t, claim(FirstProbation, "1"), "probation-1")
@@ -149,9 +149,9 @@
 
 func TestParseName(t *testing.T) {
 	f := FingerprintOf(Content{Target: "/x"})
-	n, err := ParseRecordKey(RecordKeyFor(f, "h1"))
+	key, err := ParseRecordKey(RecordKeyFor(f, "h1"))
 	assert.NilError(t, err)
-	assert.Equal(t, n, RecordKey{Fingerprint: f, Host: "h1"})
+	assert.Equal(t, key, RecordKey{Fingerprint: f, Host: "h1"})
 	for _, bad := range []string{"", "x", f.String(), f.String() + "/host/", f.String() + "/h1", "zz/host/h1"} {
 		_, err := ParseRecordKey(bad)
 		assert.Assert(t, err != nil, bad)
@@ -204,17 +204,17 @@
 func TestSuspicionReportsOnlyActualCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Suspicion
-		ended, trials, reported, now := 0, 0, 0, start
+		crashes, trials, reported, now := 0, 0, 0, start
 		for i := range rapid.IntRange(0, 40).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "gap")) * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				s.Served()
 			case 1:
-				ended++
+				crashes++
 				s.Crashed(Crash{Server: fmt.Sprint(i)}, now)
 			case 2:
-				ended++
+				crashes++
 				trials++
 				s.Crashed(Crash{Server: fmt.Sprint(i), OnTrial: true}, now)
 			case 3:
@@ -224,29 +224,29 @@
 				assert.Assert(t, len(r.Trials) <= trials)
 				assert.Assert(t, len(r.Servers) <= min(r.Crashes, MaxListed))
 			}
-			assert.Assert(t, reported <= ended)
+			assert.Assert(t, reported <= crashes)
 		}
 	})
 }
 
 // A broken call counts once, if the crash of its server becomes known before the call expires.
 func TestWitnesses(t *testing.T) {
-	w := NewBrokenCalls()
+	b := NewBrokenCalls()
 	broke := func(server string, at time.Time) {
-		w.Add(BrokenCall{Fingerprint: FingerprintOf(Content{Target: "/x"}), Crash: Crash{Server: server}, At: at})
+		b.Add(BrokenCall{Fingerprint: FingerprintOf(Content{Target: "/x"}), Crash: Crash{Server: server}, At: at})
 	}
 	broke("a#1", start)
 	broke("b#1", start)
-	assert.Equal(t, len(w.Take("c#1", start)), 0)
-	assert.Equal(t, len(w.Take("a#1", start.Add(brokenCallTTL-1))), 1)
-	assert.Equal(t, len(w.Take("a#1", start.Add(brokenCallTTL-1))), 0)
-	assert.Equal(t, len(w.Take("b#1", start.Add(brokenCallTTL))), 0, "too late")
+	assert.Equal(t, len(b.Take("c#1", start)), 0)
+	assert.Equal(t, len(b.Take("a#1", start.Add(brokenCallTTL-1))), 1)
+	assert.Equal(t, len(b.Take("a#1", start.Add(brokenCallTTL-1))), 0)
+	assert.Equal(t, len(b.Take("b#1", start.Add(brokenCallTTL))), 0, "too late")
 	for i := range 2 * maxBrokenCalls {
 		broke(fmt.Sprint(i), start)
 	}
-	assert.Equal(t, w.count, maxBrokenCalls)
+	assert.Equal(t, b.count, maxBrokenCalls)
 	broke("last", start.Add(brokenCallTTL))
-	assert.Equal(t, w.count, 1, "expired calls make room")
+	assert.Equal(t, b.count, 1, "expired calls make room")
 }
 
 // Crashes that two requests saw on trial at the same servers are attributed to the one with more
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -17,7 +17,7 @@
 
 // Record is what one host observed of a request.
 type Record struct {
-	// Servers are crashed servers, at most MaxListed. Ended is the number of all crashes.
+	// Servers are crashed servers, at most MaxListed. Crashes is the number of all crashes.
 	Servers []string
 	Crashes int
 	// Trials are the servers that crashed on trial, at most MaxListed.
@@ -64,8 +64,8 @@
 // claimName returns the name of the claim of a trial in the store.
 func claimName(f Fingerprint, claim string) string { return f.String() + "/" + trialPrefix + claim }
 
-// RecordKey is the parsed name of a record, which has a Host, or of the claim of a trial, which has a
-// Claim.
+// RecordKey is the parsed name of a record, which has a Host, or of the claim of a trial, which has
+// a Claim.
 type RecordKey struct {
 	Fingerprint Fingerprint
 	Host, Claim string
--- a/quarantine/suspicion.go
+++ b/quarantine/suspicion.go
@@ -45,7 +45,7 @@
 	suspected bool
 	// served is the number of servers that replied.
 	served int
-	// unreported holds the crashes since the last reply that Tell has not returned yet.
+	// unreported holds the crashes since the last reply that TakeReport has not returned yet.
 	unreported Record
 	// lastCrash is the time of the last crash outside a trial, nextTrial the earliest start of
 	// the next trial.
@@ -57,9 +57,9 @@
 // trial, not before verdictBy.
 func (s *Suspicion) Suspect(verdictBy time.Time) { s.suspected, s.nextTrial = true, verdictBy }
 
-// TrialWaitDeadline returns the time until which a query leaves the trial of a suspect to others. This
-// is verdictBy, but at most a fixed part of the time between arrived and deadline, as a stream of
-// reports about an innocent request would otherwise delay it until its deadline.
+// TrialWaitDeadline returns the time until which a query leaves the trial of a suspect to others.
+// This is verdictBy, but at most a fixed part of the time between arrived and deadline, as a stream
+// of reports about an innocent request would otherwise delay it until its deadline.
 func TrialWaitDeadline(verdictBy, arrived, deadline time.Time) time.Time {
 	if latest := arrived.Add(deadline.Sub(arrived) / verdictWaitDivisor); latest.Before(verdictBy) {
 		return latest
@@ -75,8 +75,8 @@
 	return s.served == 0 && s.suspected || s.unreported.Crashes > s.served
 }
 
-// DelayTrial delays the next trial by d. Callers choose it at random, so that requests that lost the same
-// servers do not go on trial at the same time.
+// DelayTrial delays the next trial by d. Callers choose it at random, so that requests that lost
+// the same servers do not go on trial at the same time.
 func (s *Suspicion) DelayTrial(d time.Duration) { s.nextTrial = s.nextTrial.Add(d) }
 
 // NextTrial returns the earliest start of the next trial.
@@ -95,14 +95,14 @@
 // Crashed records the crash of a server under the query. If cancel is true, the query must be
 // cancelled at the servers that still run it and all hosts must suspect it. If report is true, a
 // crash on trial must be reported to all hosts now.
-func (s *Suspicion) Crashed(e Crash, now time.Time) (cancel, report bool) {
+func (s *Suspicion) Crashed(crash Crash, now time.Time) (cancel, report bool) {
 	s.unreported.Crashes++
 	s.unreported.LastCrash = now.UnixMilli()
-	s.unreported.Servers = appendUnique(s.unreported.Servers, e.Server)
-	if e.Version != "" {
-		s.unreported.Versions = appendUnique(s.unreported.Versions, e.Version)
+	s.unreported.Servers = appendUnique(s.unreported.Servers, crash.Server)
+	if crash.Version != "" {
+		s.unreported.Versions = appendUnique(s.unreported.Versions, crash.Version)
 	}
-	if !e.OnTrial {
+	if !crash.OnTrial {
 		s.lastCrash = now
 		cancel = !s.cancelled && s.served == 0 && s.unreported.Crashes >= cancelThreshold
 		s.cancelled = s.cancelled || cancel
@@ -115,7 +115,7 @@
 		s.nextTrial = s.lastCrash.Add(trialQuietPeriod)
 		return false, false
 	}
-	s.unreported.Trials = appendUnique(s.unreported.Trials, e.Server)
+	s.unreported.Trials = appendUnique(s.unreported.Trials, crash.Server)
 	s.nextTrial = now.Add(trialQuietPeriod)
 	return false, true
 }
--- a/quarantine/witness.go
+++ b/quarantine/witness.go
@@ -40,41 +40,41 @@
 	count int
 }
 
-// NewBrokenCalls returns a Witnesses without calls.
+// NewBrokenCalls returns a BrokenCalls without calls.
 func NewBrokenCalls() *BrokenCalls { return &BrokenCalls{calls: map[string][]BrokenCall{}} }
 
 // Add adds a broken call.
-func (w *BrokenCalls) Add(c BrokenCall) {
-	if w.count >= maxBrokenCalls {
-		w.expire(c.At)
+func (b *BrokenCalls) Add(c BrokenCall) {
+	if b.count >= maxBrokenCalls {
+		b.expire(c.At)
 	}
-	if w.count < maxBrokenCalls {
-		w.calls[c.Crash.Server] = append(w.calls[c.Crash.Server], c)
-		w.count++
+	if b.count < maxBrokenCalls {
+		b.calls[c.Crash.Server] = append(b.calls[c.Crash.Server], c)
+		b.count++
 	}
 }
 
 // Take removes and returns the recent broken calls of a server that crashed.
-func (w *BrokenCalls) Take(server string, now time.Time) []BrokenCall {
-	w.expire(now)
-	calls := w.calls[server]
-	delete(w.calls, server)
-	w.count -= len(calls)
+func (b *BrokenCalls) Take(server string, now time.Time) []BrokenCall {
+	b.expire(now)
+	calls := b.calls[server]
+	delete(b.calls, server)
+	b.count -= len(calls)
 	return calls
 }
 
 // expire removes calls older than brokenCallTTL.
-func (w *BrokenCalls) expire(now time.Time) {
-	for server, calls := range w.calls {
+func (b *BrokenCalls) expire(now time.Time) {
+	for server, calls := range b.calls {
 		kept := calls[:0]
 		for _, c := range calls {
 			if now.Sub(c.At) < brokenCallTTL {
 				kept = append(kept, c)
 			}
 		}
-		w.count -= len(calls) - len(kept)
-		if w.calls[server] = kept; len(kept) == 0 {
-			delete(w.calls, server)
+		b.count -= len(calls) - len(kept)
+		if b.calls[server] = kept; len(kept) == 0 {
+			delete(b.calls, server)
 		}
 	}
 }
--- a/replica/wait.go
+++ b/replica/wait.go
@@ -28,9 +28,9 @@
 	slowdownHalfLife = 200 * time.Millisecond
 )
 
-// ReportSlowdown records the factor by which a leaf reports its machine to be slower than usual. The
-// service time is kept without this factor, so that it does not stay high after a noisy neighbour
-// is gone.
+// ReportSlowdown records the factor by which a leaf reports its machine to be slower than usual.
+// The service time is kept without this factor, so that it does not stay high after a noisy
+// neighbour is gone.
 func (s *Set) ReportSlowdown(i int, factor float64, now time.Time) {
 	s.Leaves[i].slowdown, s.Leaves[i].slowdownReportedAt = factor, now
 }
@@ -138,22 +138,22 @@
 // This keeps the queue of a slow leaf short enough that some requests meet their deadline. It
 // does not apply to fast leaves, whose run times are not known precisely enough: requests that
 // could be in time would be delayed.
-func (s *Set) WouldBeLate(i int, due TimeBudget, now time.Time) (wait time.Duration, late bool) {
+func (s *Set) WouldBeLate(i int, timeBudget TimeBudget, now time.Time) (wait time.Duration, late bool) {
 	run := s.runTime(i, now)
-	if run <= time.Duration(slowRunFraction*float64(due.Objective)) {
+	if run <= time.Duration(slowRunFraction*float64(timeBudget.Objective)) {
 		return 0, false
 	}
 	wait = s.Wait(i, now)
 	idle := time.Duration(maxIdleQueue * float64(s.Leaves[i].queueWait(1)))
-	if due.Remaining <= 0 {
+	if timeBudget.Remaining <= 0 {
 		return max(wait, s.Leaves[i].serviceTime, minOutlierLatency), wait > idle || s.Leaves[i].Slots.InUse() > 0
 	}
-	return wait, wait > idle && wait+run > due.Remaining
+	return wait, wait > idle && wait+run > timeBudget.Remaining
 }
 
-// EarliestCompletion estimates the completion time of a request, from now, at the leaf that would complete
-// it first, and its run time there. 0 means unknown, as for a leaf that has just started, and
-// compares as fastest. If all leaves are ejected or excluded, both are math.MaxInt64. Leaves in
+// EarliestCompletion estimates the completion time of a request, from now, at the leaf that would
+// complete it first, and its run time there. 0 means unknown, as for a leaf that has just started,
+// and compares as fastest. If all leaves are ejected or excluded, both are math.MaxInt64. Leaves in
 // the bit set exclude are not considered.
 func (s *Set) EarliestCompletion(exclude uint64, now time.Time) (expected, run time.Duration) {
 	expected, run = math.MaxInt64, math.MaxInt64
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -19,7 +19,7 @@
 }
 
 // AddFirstAttempts refills the bucket for n first attempts that were sent.
-func (b *Budget) FirstAttempts(n int) {
+func (b *Budget) AddFirstAttempts(n int) {
 	b.tokens = min(b.size, b.tokens+b.refill*float64(n))
 }
 
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -20,7 +20,7 @@
 		for range rapid.IntRange(1, 500).Draw(rt, "steps") {
 			if rapid.Bool().Draw(rt, "first") {
 				n := rapid.IntRange(1, 140).Draw(rt, "n")
-				b.FirstAttempts(n)
+				b.AddFirstAttempts(n)
 				first += n
 			} else if b.Take(uint32(rapid.IntRange(0, 3).Draw(rt, "rank"))) {
 				extra++
@@ -66,7 +66,7 @@
 func ExampleBudget() {
 	b := retry.NewBudget(0.5, 1)
 	fmt.Println(b.Take(0), b.Take(0))
-	b.FirstAttempts(2)
+	b.AddFirstAttempts(2)
 	fmt.Println(b.Take(0))
 	// Output:
 	// true false
--- a/route/config.go
+++ b/route/config.go
@@ -22,7 +22,7 @@
 	Idempotent bool
 	// Timeout is the maximum time until a request is answered.
 	Timeout time.Duration
-	// Objective is the latency objective; 0 means none. See Goal.
+	// Objective is the latency objective; 0 means none. See EffectiveObjective.
 	Objective time.Duration
 	// Priority is the priority of the route; 0 is the highest. See Rank.
 	Priority int
--- a/route/doc.go
+++ b/route/doc.go
@@ -4,6 +4,6 @@
 // Invariants: a Holder never returns to an older version. Among the routes of a
 // host name, the one with the longest matching prefix serves the request. The
 // configuration of a Table is immutable, so a request that keeps its Table sees
-// one version throughout. Homes restricts the regions that may see the requests
+// one version throughout. HomeRegions restricts the regions that may see the requests
 // of a route.
 package route
--- a/route/homes.go
+++ b/route/homes.go
@@ -10,7 +10,7 @@
 type HomeRegions []string
 
 // Allow reports whether a server or host in a region may see a request. An unknown
-// region ("") is allowed only if there are no homes.
+// region ("") is allowed only if the list is empty.
 func (h HomeRegions) Allow(region string) bool {
 	return len(h) == 0 || region != "" && slices.Contains(h, region)
 }
--- a/route/table.go
+++ b/route/table.go
@@ -45,12 +45,12 @@
 	for _, s := range config.Services {
 		t.services[s.Name] = s
 	}
-	t.computeSpare()
+	t.computeMaxMissing()
 	return t
 }
 
-// computeSpare sets Spare of each query.
-func (t *Table) computeSpare() {
+// computeMaxMissing sets MaxMissing of each query.
+func (t *Table) computeMaxMissing() {
 	minSpare := make([]int, len(t.shardSets))
 	for i, set := range t.shardSets {
 		minSpare[i] = len(set)
--- a/scarcity/oracle_test.go
+++ b/scarcity/oracle_test.go
@@ -46,7 +46,7 @@
 type query struct {
 	arrived time.Duration
 	shards  []scarcity.Shard
-	choice  *scarcity.AskOrder
+	order   *scarcity.AskOrder
 	// accepted is the number of scarce shards whose servers accepted a call.
 	accepted int
 	complete bool
@@ -89,7 +89,7 @@
 	var pending eventQueue
 	total, completed := 0, 0
 	for at := time.Duration(0); at < length; at += time.Duration(rng.ExpFloat64() / m.perSecond * float64(time.Second)) {
-		heap.Push(&pending, event{at, &query{arrived: at, choice: scarcity.NewAskOrder(m.n, rng), shards: shardsOf(m.n, m.scarce)}})
+		heap.Push(&pending, event{at, &query{arrived: at, order: scarcity.NewAskOrder(m.n, rng), shards: shardsOf(m.n, m.scarce)}})
 		total++
 	}
 	for len(pending) > 0 {
@@ -134,7 +134,7 @@
 	}
 	var verdicts []scarcity.Verdict
 	if selective {
-		verdicts = q.choice.Decide(q.shards, scarcity.Requirements{Needed: m.n - m.spare, MaxMissing: m.spare, Objective: objective, Remaining: left})
+		verdicts = q.order.Decide(q.shards, scarcity.Requirements{Needed: m.n - m.spare, MaxMissing: m.spare, Objective: objective, Remaining: left})
 	}
 	refused := false
 	for i := range m.servers {
--- a/scarcity/scarcity.go
+++ b/scarcity/scarcity.go
@@ -52,7 +52,7 @@
 type Shard struct {
 	State State
 	// ServiceTime is the processing time of the server that is expected to answer first; Expected
-	// adds the wait there. 0 means unknown, which counts as fast. Only Run makes a shard
+	// adds the wait there. 0 means unknown, which counts as fast. Only ServiceTime makes a shard
 	// scarce, because the wait changes too quickly while all servers are busy.
 	ServiceTime, Expected time.Duration
 }
@@ -71,22 +71,22 @@
 	// Needed is the number of shards that the answer must contain. Spare is the number
 	// that may be missing from an answer to any query over the same shards.
 	Needed, MaxMissing int
-	// Objective is the time within which an answer has its full value, Left what remains
+	// Objective is the time within which an answer has its full value, Remaining what remains
 	// of it.
 	Objective, Remaining time.Duration
 }
 
 // Decide returns a verdict for each shard, or nil if no shard is scarce. Verdicts apply only
 // to shards that are Waiting.
-func (c *AskOrder) Decide(shards []Shard, t Requirements) []Verdict {
-	scarce := findScarce(shards, t.Objective)
+func (o *AskOrder) Decide(shards []Shard, r Requirements) []Verdict {
+	scarce := findScarce(shards, r.Objective)
 	if !slices.Contains(scarce, true) {
 		return nil
 	}
 	verdicts := make([]Verdict, len(shards))
-	missing := t.Needed - countWithoutScarce(shards, scarce)
+	missing := r.Needed - countWithoutScarce(shards, scarce)
 	if missing <= 0 {
-		return c.verdictsIfUnneeded(verdicts, scarce, t.MaxMissing)
+		return o.verdictsIfUnneeded(verdicts, scarce, r.MaxMissing)
 	}
 	if missing > maxSequential {
 		return verdicts
@@ -96,7 +96,7 @@
 			missing--
 		}
 	}
-	for _, i := range c.candidates(shards, scarce, t.Remaining) {
+	for _, i := range o.candidates(shards, scarce, r.Remaining) {
 		if missing <= 0 {
 			verdicts[i] = Skip
 		}
@@ -108,14 +108,14 @@
 // verdictsIfUnneeded fills in the verdicts of a query that needs no scarce shard. It leaves
 // them out if more are scarce than any answer may lack, that is if other queries need them: a
 // slot there can make another answer sufficient but adds only one more part to this one.
-func (c *AskOrder) verdictsIfUnneeded(verdicts []Verdict, scarce []bool, spare int) []Verdict {
+func (o *AskOrder) verdictsIfUnneeded(verdicts []Verdict, scarce []bool, maxMissing int) []Verdict {
 	verdict, count := AskIfIdle, 0
 	for _, s := range scarce {
 		if s {
 			count++
 		}
 	}
-	if count > spare {
+	if count > maxMissing {
 		verdict = Skip
 	}
 	for i, s := range scarce {
@@ -129,12 +129,12 @@
 // candidates returns the scarce shards that may be asked now: first those that are expected
 // to answer in time, in the random order, which spreads queries over them, then the others
 // by expected time, so that no time is spent on shards without a usable server.
-func (c *AskOrder) candidates(shards []Shard, scarce []bool, left time.Duration) []int {
+func (o *AskOrder) candidates(shards []Shard, scarce []bool, remaining time.Duration) []int {
 	var inTime, late []int
-	for _, i := range c.order {
+	for _, i := range o.order {
 		switch {
 		case !scarce[i] || shards[i].State != Waiting:
-		case shards[i].Expected <= left:
+		case shards[i].Expected <= remaining:
 			inTime = append(inTime, i)
 		default:
 			late = append(late, i)
--- a/scarcity/scarcity_test.go
+++ b/scarcity/scarcity_test.go
@@ -43,49 +43,49 @@
 }
 
 func TestNoVerdictsWithoutScarceShards(t *testing.T) {
-	c := scarcity.NewAskOrder(20, newRNG(1))
-	terms := scarcity.Requirements{Needed: 18, MaxMissing: 2, Objective: objective, Remaining: objective}
-	assert.Assert(t, c.Decide(shardsOf(20, 0), terms) == nil)
-	assert.Assert(t, c.Decide(make([]scarcity.Shard, 20), terms) == nil, "all run times are unknown")
+	order := scarcity.NewAskOrder(20, newRNG(1))
+	requirements := scarcity.Requirements{Needed: 18, MaxMissing: 2, Objective: objective, Remaining: objective}
+	assert.Assert(t, order.Decide(shardsOf(20, 0), requirements) == nil)
+	assert.Assert(t, order.Decide(make([]scarcity.Shard, 20), requirements) == nil, "all run times are unknown")
 	slower := shardsOf(20, 0)
 	slower[3].ServiceTime = 70 * time.Millisecond
-	assert.Assert(t, c.Decide(slower, terms) == nil, "slower than the others, but below the least time of a scarce shard")
+	assert.Assert(t, order.Decide(slower, requirements) == nil, "slower than the others, but below the least time of a scarce shard")
 	busy := shardsOf(20, 0)
 	busy[3].Expected = time.Second
-	assert.Assert(t, c.Decide(busy, terms) == nil, "a wait does not make a shard scarce")
+	assert.Assert(t, order.Decide(busy, requirements) == nil, "a wait does not make a shard scarce")
 }
 
 func TestNoMoreAreAskedThanTheLeastShareNeeds(t *testing.T) {
-	c := scarcity.NewAskOrder(87, newRNG(1))
-	terms := scarcity.Requirements{Needed: 83, MaxMissing: 4, Objective: objective, Remaining: objective}
+	order := scarcity.NewAskOrder(87, newRNG(1))
+	requirements := scarcity.Requirements{Needed: 83, MaxMissing: 4, Objective: objective, Remaining: objective}
 	shards := shardsOf(87, 6)
-	verdicts := c.Decide(shards, terms)
+	verdicts := order.Decide(shards, requirements)
 	assert.Equal(t, count(verdicts, scarcity.Skip), 4)
 	asked := slices.IndexFunc(verdicts[:6], func(v scarcity.Verdict) bool { return v == scarcity.Ask })
 	shards[asked].State = scarcity.Running
-	again := c.Decide(shards, terms)
+	again := order.Decide(shards, requirements)
 	assert.Equal(t, count(again, scarcity.Skip), 4, "one is in flight, one more is asked")
 	shards[asked].State = scarcity.BackingOff
-	assert.Equal(t, count(c.Decide(shards, terms), scarcity.Skip), 3, "one refused, another is asked instead")
+	assert.Equal(t, count(order.Decide(shards, requirements), scarcity.Skip), 3, "one refused, another is asked instead")
 }
 
 // A query must not spend its time on a scarce shard that cannot answer in time.
 func TestShardsThatCannotBeInTimeComeLast(t *testing.T) {
 	for seed := range uint64(50) {
-		c := scarcity.NewAskOrder(20, newRNG(seed))
+		order := scarcity.NewAskOrder(20, newRNG(seed))
 		shards := shardsOf(20, 3)
 		shards[0].Expected = time.Second
-		verdicts := c.Decide(shards, scarcity.Requirements{Needed: 18, MaxMissing: 2, Objective: objective, Remaining: 250 * time.Millisecond})
+		verdicts := order.Decide(shards, scarcity.Requirements{Needed: 18, MaxMissing: 2, Objective: objective, Remaining: 250 * time.Millisecond})
 		assert.Equal(t, verdicts[0], scarcity.Skip)
 		assert.Equal(t, count(verdicts, scarcity.Skip), 2)
 	}
 }
 
 func TestQueriesThatNeedNoneLeaveThemToOthers(t *testing.T) {
-	c := scarcity.NewAskOrder(87, newRNG(1))
-	terms := scarcity.Requirements{Needed: 74, MaxMissing: 4, Objective: objective, Remaining: objective}
-	assert.Equal(t, count(c.Decide(shardsOf(87, 6), terms), scarcity.Skip), 6)
-	assert.Equal(t, count(c.Decide(shardsOf(87, 3), terms), scarcity.AskIfIdle), 3, "no query needs them")
+	order := scarcity.NewAskOrder(87, newRNG(1))
+	requirements := scarcity.Requirements{Needed: 74, MaxMissing: 4, Objective: objective, Remaining: objective}
+	assert.Equal(t, count(order.Decide(shardsOf(87, 6), requirements), scarcity.Skip), 6)
+	assert.Equal(t, count(order.Decide(shardsOf(87, 3), requirements), scarcity.AskIfIdle), 3, "no query needs them")
 }
 
 // For any states, no more scarce shards are in flight than are needed, and shards that are
@@ -94,7 +94,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 140).Draw(t, "shards")
 		scarce := rapid.IntRange(1, n/3).Draw(t, "scarce")
-		terms := scarcity.Requirements{
+		requirements := scarcity.Requirements{
 			Needed: rapid.IntRange(1, n).Draw(t, "needed"), MaxMissing: rapid.IntRange(0, n).Draw(t, "spare"),
 			Objective: objective, Remaining: time.Duration(rapid.IntRange(0, 300).Draw(t, "left")) * time.Millisecond,
 		}
@@ -109,7 +109,7 @@
 				running++
 			}
 		}
-		verdicts := scarcity.NewAskOrder(n, newRNG(1)).Decide(shards, terms)
+		verdicts := scarcity.NewAskOrder(n, newRNG(1)).Decide(shards, requirements)
 		assert.Equal(t, count(verdicts[scarce:], scarcity.Ask), n-scarce)
 		asked := 0
 		for i := range scarce {
@@ -117,7 +117,7 @@
 				asked++
 			}
 		}
-		sequential := terms.Needed-withoutScarce <= 3
-		assert.Assert(t, !sequential || asked == 0 || running+asked <= terms.Needed-withoutScarce, "%d in flight and %d more asked, but only %d needed", running, asked, terms.Needed-withoutScarce)
+		sequential := requirements.Needed-withoutScarce <= 3
+		assert.Assert(t, !sequential || asked == 0 || running+asked <= requirements.Needed-withoutScarce, "%d in flight and %d more asked, but only %d needed", running, asked, requirements.Needed-withoutScarce)
 	})
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -86,7 +86,7 @@
 TestQueueIsRememberedBetweenRareReports@replica/wait.go@s/halfLifeIntervals\*l.reportInterval/0*l.reportInterval/@the estimate of a queue decays between rare reports
 TestReplicaThatLosesAnswersIsChosenLess@replica/eject.go@s/\tleaf.lossRate \+= ewmaWeight \* \(1 - leaf.lossRate\)\n//@failures do not affect replica selection
 TestFloodOfTheLowerRankLeavesTheHigherAlone@admission/gate.go@s/floorShare\*\(1-g.refusedShare\)\*g.offeredWork\(\)\/r.work/0.2/@the guaranteed share of a rank grows with its demand
-TestLateCallersComeLast@admission/gate.go@s/if r.late != ask.Late \{/if false {/@late requests are queued with the others
+TestLateCallersComeLast@admission/gate.go@s/if r.late != request.Late \{/if false {/@late requests are queued with the others
 TestWritesDoNotGrowWithTheHosts@internal/control/announce.go@s/if a.delegated.Load\(\) \{/if false {/@followers also write their own entries
 TestEntryOfALostFollowerGoes@internal/control/announce.go@s/followerGrace = 3 \* time.Second/followerGrace = time.Hour/@the entry of a lost follower is not removed soon
 TestEntriesOutliveTheHostThatKeepsThem@internal/control/announce.go@s/\t\tdelete\(a.written, a.name\).*?\n//@a host still treats an entry overwritten by another host as its own
@@ -99,9 +99,9 @@
 TestLinesBeyondTheBoundAreCountedInTheNextLine@internal/obs/bounded.go@s/e.Int64\("left_out", n\)//@dropped lines are not reported
 TestConnectionsStayBelowTheLimitAtAnySize@internal/control/view.go@s/else if v.HostCount > usable \{/else if false {/@every host calls a server regardless of its connection limit
 TestHostsPassRequestsOnWhereAServerHasFewConnections@internal/gateway/relay.go@s/if g.whole && r.reply != nil \{/if false {/@complete replies are not relayed
-TestQueriesThatNeedOneScarceShardDoNotTakeAll@internal/gateway/attempt.go@s/if q.choice == nil \{/if true {/@every query calls all scarce shards
-TestShardsThatCannotBeInTimeComeLast@scarcity/scarcity.go@s/case shards\[i\].Expected <= left:/case true:/@a shard that cannot be in time is not tried last
-TestQueriesThatNeedNoneLeaveThemToOthers@scarcity/scarcity.go@s/if count > spare \{/if false {/@queries that need no scarce shard use its capacity
+TestQueriesThatNeedOneScarceShardDoNotTakeAll@internal/gateway/attempt.go@s/if q.askOrder == nil \{/if true {/@every query calls all scarce shards
+TestShardsThatCannotBeInTimeComeLast@scarcity/scarcity.go@s/case shards\[i\].Expected <= remaining:/case true:/@a shard that cannot be in time is not tried last
+TestQueriesThatNeedNoneLeaveThemToOthers@scarcity/scarcity.go@s/if count > maxMissing \{/if false {/@queries that need no scarce shard use its capacity
 TestNoMoreAreAskedThanTheLeastShareNeeds@scarcity/scarcity.go@s/\t\t\tverdicts\[i\] = Skip/\t\t\tverdicts[i] = Ask/@more scarce shards are called than needed
 TestRequestsStayInTheirHomes@internal/gateway/pick.go@s/if !homes.Allow\(b.region\) \{/if !homes.Allow(b.region) && false {/@servers outside the home regions get requests
 TestRequestsStayInTheirHomes|TestTwoHomesShareTheRequests@route/homes.go@s/return len\(h\) == 0 \|\| /return true || /@every region counts as a home region
@@ -119,7 +119,7 @@
 TestStanding@quarantine/standing.go@s/case len\(servers\) >= MinCrashes && len\(trials\) >= MinTrialCrashes:/case len(servers) >= MinCrashes:/@servers that ended suffice for quarantine without trials
 TestBarredRequestIsTriedAgain@quarantine/book.go@s/now.Sub\(h.barredSince\) >= probation/true/@a barred request is tried again at once
 TestBarOutlivesTheHosts|TestEveryKindOfRequestIsBarred@internal/guard/guard.go@s/g.store.PutRecord\(/_ = func(string, []byte) {}; func(string, []byte) {}(/@quarantine records are not stored
-TestLogTellsWithWhichRequestAServerEnded@internal/gateway/send.go@s/out.serverEnded = g.edges.Backends.HasExited\(ctx, c.backend.Server\)/out.serverEnded = true/@every broken connection counts as the end of a server
+TestLogTellsWithWhichRequestAServerEnded@internal/gateway/send.go@s/out.serverCrashed = g.adapters.Backends.HasExited\(ctx, c.backend.Server\)/out.serverCrashed = true/@every broken connection counts as the end of a server
 TestServersThatAreBackAtOnceAreKnownToHaveEnded@internal/guard/guard.go@s/range g.brokenCalls.Take\(process, now\) \{/range g.brokenCalls.Take(process, now)[:0] {/@entries in the store are not used as evidence of an end
 TestHostThatWakesAloneIsReadyAgain@internal/control/wake.go@s/\ts.unconfirmedSince = now\n//@a resumed host does not doubt its stale state
 TestRequestInHandEndsWithASuspension@internal/gateway/sleep.go@s/q.end, q.due, q.dispatchBy = q.end.Add\(-added\)/q.end, q.due, q.dispatchBy = q.end.Add(0)/; s/\tq.state.AddSuspension\(added\)\n//@the deadline of a request in flight ignores a suspension
@@ -130,7 +130,7 @@
 TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.recheckBarred\(\)/q.quarantine.barredChanged = nil/@queries in flight are not notified of a bar
 TestTrialsLeaveShardsEnoughToServeOthers@internal/gateway/trial.go@s/running := q.running\(\)/running := t.shard >= 0 && q.state.Running(t.shard) > 0/@a trial starts while other calls are running
 TestQueryWithoutPartsIsNotHedgedEarly@internal/gateway/attempt.go@s/need.Hedge && q.holdsHedges\(now\)/false/@hedges are sent before any shard has answered
-TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.reportEnds\(now\) \/\/ A repeat.*//@peers are notified only after the trial
+TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.reportCrashes\(now\) \/\/ A repeat.*//@peers are notified only after the trial
 TestQueryThatLacksServersIsRefusedAtOnce@internal/gateway/serve.go@s/q.lacksServers\(time.Now\(\)\)/false/@queries wait for servers that no longer exist
 TestHostsWithoutTheStoreDoNotEachFindOut@internal/control/records.go@s/if c.storeLost\(\) \{\n\t\tc.peerRecords.put/if false {\n\t\tc.peerRecords.put/@peers are not notified while the store is unavailable
 TestHostThatWasToldLeavesTheTrialToTheOther@internal/gateway/trial.go@s/q.awaitVerdict\(guard.TrialDeadline\(f\)\)/q.trial.Suspect(time.Time{})/@a notified host starts its own trials
