--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -195,7 +195,7 @@
 	g.store.PutRecord(quarantine.RecordKeyFor(f, g.host), value)
 }
 
-// ApplyEntryTo applies an entry of the store. An invalid one is logged and ignored.
+// ApplyEntry applies an entry of the store. An invalid one is logged and ignored.
 func (g *Guard) ApplyEntry(e control.Entry, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
