--- a/internal/capacity/configs.go
+++ b/internal/capacity/configs.go
@@ -123,13 +123,14 @@
 	worst := 0.0
 	for run := range runs {
 		rng := rand.New(rand.NewPCG(uint64(run), 9))
-		worst = math.Max(worst, simulateSpread(hosts, rng))
+		worst = math.Max(worst, simulatePropagation(hosts, rng))
 	}
 	return worst
 }
 
-// simulateSpread simulates the spread of one revision from host 0.
-func simulateSpread(hosts int, rng *rand.Rand) float64 {
+// simulatePropagation simulates the propagation of one revision from host 0, and returns the
+// seconds until 999 in 1,000 of the live hosts know it.
+func simulatePropagation(hosts int, rng *rand.Rand) float64 {
 	const step = 10 * time.Millisecond
 	dead := make([]bool, hosts)
 	informedAt := make([]time.Duration, hosts)
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -15,7 +15,7 @@
 	designRestartsPerSecond = 11000.0 / 86400
 	messagesPerSecond       = 4      // a probe and its reply, sent and received, at 2 intervals a second
 	factsPerRestart         = 2      // leaving or dead, and alive again
-	sendsPerFact            = 3 * 13 // limit of member.Table.PendingFacts at designHosts
+	sendsPerFact            = 3 * 13 // member.retransmitFactor * bits.Len(designHosts+1), the limit in member.Table.PendingFacts
 )
 
 // Results holds all measurements.
@@ -80,7 +80,8 @@
 func (r Results) WriteHost(w io.Writer) {
 	heartbeat := r.find("heartbeat message")
 	factsPerMessage := designRestartsPerSecond * factsPerRestart * sendsPerFact / messagesPerSecond
-	steady := messagesPerSecond * heartbeat.At(min(factsPerMessage, 16))
+	// A message holds at most 16 facts, which is member.maxFacts.
+	calm := messagesPerSecond * heartbeat.At(min(factsPerMessage, 16))
 	burst := messagesPerSecond * heartbeat.At(16)
 	changeTime := r.find("change of one service")
 	headBytes := r.find("head, size").At(designServices) * 1024
@@ -89,14 +90,16 @@
 	memberTime := r.find("change of a member").At(designHosts)
 	placementTime := r.find("placement").At(designHosts) * designServices
 	memberCPU := designRestartsPerSecond * factsPerRestart * (memberTime + placementTime) / 1e6
+	// A host starts two exchanges of heartbeats a second and answers two on average. Each counts as
+	// one measured heartbeat interval.
 	heartbeatCPU := 4 * r.find("heartbeat interval").At(designHosts) / 1e6
 	configCPU := designChangesPerSecond * changeTime.At(designServices) / 1e6
 	tableKiB := r.find("member table").At(designHosts)
 	configKiB := r.find("whole configuration, memory").At(designServices)
 	fmt.Fprintln(w, "| what | formula | calm | budget |\n| --- | --- | --- | --- |")
-	fmt.Fprintf(w, "| heartbeats, B/s | %d messages/s x size at %.1f facts | %.0f (%.0f with 16 facts each, the bound) | |\n", messagesPerSecond, factsPerMessage, steady, burst)
+	fmt.Fprintf(w, "| heartbeats, B/s | %d messages/s x size at %.1f facts | %.0f (%.0f with 16 facts each, the bound) | |\n", messagesPerSecond, factsPerMessage, calm, burst)
 	fmt.Fprintf(w, "| configuration, B/s | %.3f changes/s x (head + 1 part + pushes) | %.0f | |\n", designChangesPerSecond, configBytes)
-	fmt.Fprintf(w, "| **bytes, sum** | | **%.0f** (%.0f in a burst) | 5,000 |\n", steady+configBytes, burst+configBytes)
+	fmt.Fprintf(w, "| **bytes, sum** | | **%.0f** (%.0f in a burst) | 5,000 |\n", calm+configBytes, burst+configBytes)
 	fmt.Fprintf(w, "| heartbeats, core | 4/s x interval | %.5f%% | |\n", 100*heartbeatCPU)
 	fmt.Fprintf(w, "| member changes, core | %.3f/s x (taken in + placement of %d services) | %.2f%% | |\n", designRestartsPerSecond*factsPerRestart, designServices, 100*memberCPU)
 	fmt.Fprintf(w, "| configuration, core | %.3f/s x made and taken in | %.3f%% | |\n", designChangesPerSecond, 100*configCPU)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -60,15 +60,14 @@
 	suspended func() time.Duration
 	resumed   chan struct{}
 
-	// The fields down to cooldownUntil belong to the goroutine of followStore. loaded is set
-	// once a complete state has been read; watchedRevision is the revision up to which
+	// The fields down to cooldownUntil belong to the goroutine of followStore. loaded reports
+	// whether a complete state has been received; receivedRevision is the revision up to which
 	// changes have been received.
-	loaded          bool
-	watchedRevision uint64
+	loaded           bool
+	receivedRevision uint64
 	// leaderFailures counts consecutive leaders that failed.
 	leaderFailures int
-	// discovered is set once peers have been asked for a leader after the first complete
-	// read.
+	// discovered is set when discoverLeader has begun, which runs only once.
 	discovered bool
 	// cooldownUntil is the time until which a host, by address, is not chosen as leader.
 	cooldownUntil map[string]time.Time
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -77,11 +77,11 @@
 	return hosts[:i]
 }
 
-// leaderFailed handles the failure of a leader, and reports whether to try another one before
-// reading the store. It is worth one try, because all hosts of a region lose the same leader
-// at once and one of them reading the store is enough. A second try would delay configuration
-// changes too long.
-func (c *Control) leaderFailed(leader Host, err error) bool {
+// handleLeaderFailure handles the end of following a leader, and reports whether to look for a
+// leader again before calling the store. After a failure this is worth one try, because all hosts
+// of a region lose the same leader at once and one of them calling the store is enough. A second
+// try would delay configuration changes too long.
+func (c *Control) handleLeaderFailure(leader Host, err error) bool {
 	if errors.Is(err, errLeaving) || errors.Is(err, errResumed) {
 		return true
 	}
@@ -136,7 +136,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer c.announcer.setDelegated(false)
-	request := &relaypb.FollowRequest{Revision: c.watchedRevision, Packs: true, Host: c.self}
+	request := &relaypb.FollowRequest{Revision: c.receivedRevision, Packs: true, Host: c.self}
 	leave := c.leave
 	if c.isLeaving() {
 		request.Leaving, leave = true, nil
@@ -200,7 +200,7 @@
 			c.state.applyChanges(batch, now)
 		}
 	})
-	c.watchedRevision = max(c.watchedRevision, batch.Revision)
+	c.receivedRevision = max(c.receivedRevision, batch.Revision)
 	if reply.GetStoreLost() {
 		return c.probeStore(ctx, now, nextProbe)
 	}
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -13,8 +13,7 @@
 	// minRetryDelay and maxRetryDelay limit the delay before a failed store call is repeated.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 800 * time.Millisecond
-	// retryFactor is the factor by which the delay grows. With it, a host that starts while
-	// the store is unreachable has heard from a peer before its third call.
+	// retryFactor multiplies the delay after each failure.
 	retryFactor = 4
 	// minWatchInterval is the minimum time between two watches, so that changes in quick
 	// succession share one call.
@@ -25,8 +24,8 @@
 	// minPeerPollInterval is the minimum time between two polls of peers while the store is
 	// unreachable.
 	minPeerPollInterval = 700 * time.Millisecond
-	// maxPeersQueried limits the peers queried in turn until one has recently heard from the
-	// store. It is large enough to find one even if most of them have lost it.
+	// maxPeersQueried limits how many peers are queried in one poll. A poll ends earlier if a
+	// peer has recently heard from the store.
 	maxPeersQueried = 6
 	// peerTimeout bounds a call to a peer.
 	peerTimeout = 500 * time.Millisecond
@@ -46,11 +45,11 @@
 			if ctx.Err() != nil {
 				return
 			}
-			if c.leaderFailed(leader, err) {
-				continue
+			if c.handleLeaderFailure(leader, err) {
+				continue // Look for a leader again before calling the store.
 			}
 		}
-		err := c.untilResume(ctx, c.pollStore)
+		err := c.cancelOnResume(ctx, c.pollStore)
 		if ctx.Err() != nil {
 			return
 		}
@@ -58,7 +57,7 @@
 			continue
 		}
 		if errors.Is(err, ErrCompacted) {
-			c.log.Info().Uint64("revision", c.watchedRevision).Msg("store history compacted: reading the store from scratch")
+			c.log.Info().Uint64("revision", c.receivedRevision).Msg("store history compacted: reading the store from scratch")
 			c.rereads.Inc()
 			c.loaded = false
 			continue
@@ -78,13 +77,13 @@
 func (c *Control) adoptFromPeers() {
 	if v := c.View(); !c.loaded && !c.discovered && v.Initialized {
 		c.loaded = true
-		c.watchedRevision = v.Revision
+		c.receivedRevision = v.Revision
 	}
 }
 
-// discoverLeader determines, once after the start, whether there is a leader to follow. A
-// host that knows no other host after its first read waits for those that announce themselves
-// earlier and learns of them from a seed, without a store call.
+// discoverLeader runs once, after the first complete state. If that state holds no host, it
+// waits for announceDelay and queries a random seed for hosts announced meanwhile, which takes no
+// store call. It then schedules this host's own announcement.
 func (c *Control) discoverLeader(ctx context.Context) {
 	if c.discovered || !c.loaded {
 		return
@@ -92,8 +91,8 @@
 	c.discovered = true
 	if len(c.seeds) > 0 && c.View().HostCount == 0 {
 		pause.Sleep(ctx, c.announcer.announceDelay())
-		c.queryPeer(ctx, c.seeds[rand.IntN(len(c.seeds))], c.watchedRevision)
-		c.watchedRevision = max(c.watchedRevision, c.View().Revision)
+		c.queryPeer(ctx, c.seeds[rand.IntN(len(c.seeds))], c.receivedRevision)
+		c.receivedRevision = max(c.receivedRevision, c.View().Revision)
 	}
 	_, hasLeader := c.leader()
 	c.announcer.scheduleAnnounce(hasLeader, time.Now())
@@ -121,7 +120,7 @@
 func (c *Control) watch(ctx context.Context, wait, slack time.Duration) error {
 	callCtx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
-	changes, err := c.store.Watch(callCtx, c.watchedRevision, wait)
+	changes, err := c.store.Watch(callCtx, c.receivedRevision, wait)
 	if err != nil {
 		return err
 	}
@@ -130,7 +129,7 @@
 		c.state.setStoreStatus(true, nil, now, now)
 		c.state.applyChanges(changes, now)
 	})
-	c.watchedRevision = max(c.watchedRevision, changes.Revision)
+	c.receivedRevision = max(c.receivedRevision, changes.Revision)
 	return nil
 }
 
@@ -145,7 +144,7 @@
 		c.state.setStoreStatus(true, nil, now, now)
 		c.state.applyBatch(batch, now)
 	})
-	c.watchedRevision = batch.Revision
+	c.receivedRevision = batch.Revision
 	c.loaded = true
 	return nil
 }
--- a/internal/control/tally_test.go
+++ b/internal/control/tally_test.go
@@ -64,6 +64,8 @@
 // several times within a second, as after an outage of the store.
 func TestLinesDoNotGrowWithTheEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
+		// All servers are in d0 and d1: host8 calls none, and host0 is one of the relays that call
+		// those in d0.
 		for _, self := range []Host{{Name: "host8", Domain: "d2", Region: "r"}, {Name: "host0", Domain: "d0", Region: "r"}} {
 			checkLogLines(t, self)
 		}
@@ -84,9 +86,12 @@
 		s.applyBatch(Batch{Revision: 3 + 2*i, Entries: fleetEntries(195, 216, 3+2*i)}, now)
 	}
 	lines := strings.Count(out.String(), "\n")
+	// Lines about single entries are limited to detailLinesPerSecond. The other seven allow for the
+	// lines about the configuration, the summary and the readiness.
 	assert.Assert(t, lines <= 2+detailLinesPerSecond+5, "%d lines:\n%s", lines, out.String())
 	assert.Equal(t, strings.Contains(out.String(), `"server":"i-`), self.Name == "host0", "only hosts that call a server log its changes:\n%s", out.String())
 	now = now.Add(tallyInterval)
 	s.expire(now)
+	// The 432 servers have disappeared three times.
 	assert.Assert(t, strings.Contains(out.String(), `"servers_gone":1296`), out.String())
 }
--- a/internal/control/wake.go
+++ b/internal/control/wake.go
@@ -53,10 +53,10 @@
 	notify(c.resumed)
 }
 
-// untilResume makes a store call and cancels it if the machine turns out to have been
-// suspended: the connection may be dead, and the call's timeout did not run during the
-// suspension.
-func (c *Control) untilResume(ctx context.Context, call func(context.Context) error) error {
+// cancelOnResume makes a store call. If the machine turns out to have been suspended meanwhile, it
+// cancels the call and returns errResumed: the connection may be dead, and the call's timeout did
+// not run during the suspension.
+func (c *Control) cancelOnResume(ctx context.Context, call func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan error, 1)
--- a/internal/explain/profile_test.go
+++ b/internal/explain/profile_test.go
@@ -20,5 +20,7 @@
 	assert.NilError(t, explain.NewProfile(lines).Write(&out))
 	rows := strings.Split(strings.TrimSpace(out.String()), "\n")
 	assert.Equal(t, len(rows), 2, out.String())
+	// queries, route, ms p50, p90, p99, lack parts, parts lacking, not asked, asked once, more,
+	// hedges, retries, denied
 	assert.DeepEqual(t, strings.Fields(rows[1]), []string{"2", "q", "90.0", "90.0", "90.0", "0.50", "1.50", "1", "1", "1", "3.0", "0.5", "0.5"})
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -21,8 +21,8 @@
 func (discardStore) PutRecord(string, []byte) {}
 func (discardStore) RemoveRecords([]string)   {}
 
-// A request whose bar is suspended because it was served recently becomes barred when that period
-// ends, which is signalled and logged once.
+// A request that was served recently stays suspect. Once the grace period ends it is barred, which
+// is signalled and logged once.
 func TestBarAfterServedGraceIsPublished(t *testing.T) {
 	var log bytes.Buffer
 	g := New("h1", discardStore{}, zerolog.New(&log))
@@ -54,14 +54,16 @@
 	assert.Equal(t, strings.Count(log.String(), "standing of a request"), 1, log.String())
 }
 
-// When a barred request is removed, the crashes that were attributed to it may bar another request.
-// That bar must be signalled and logged too, though no record of the other request has changed.
+// Crashes of a request's servers are attributed to a barred request that also ran there. When the
+// barred one is removed, they count against the other again and may bar it. That must be signalled
+// and logged, although no record of the other request has changed.
 func TestBarFollowingRemovalOfAnotherIsPublished(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	later := start.Add(24*time.Hour - time.Second)
 	poison, popular := quarantine.FingerprintOf(quarantine.Content{Target: "/poison"}), quarantine.FingerprintOf(quarantine.Content{Target: "/popular"})
 	trials := []string{"b", "c"}
-	bar := func(g *Guard, i int) {
+	// addBarred adds another barred request, with servers of its own.
+	addBarred := func(g *Guard, i int) {
 		one, two, three := fmt.Sprint(i, "a"), fmt.Sprint(i, "b"), fmt.Sprint(i, "c")
 		f := quarantine.FingerprintOf(quarantine.Content{Target: fmt.Sprint(i)})
 		g.AddLocal(f, quarantine.Record{Servers: []string{one, two, three}, Crashes: 3, Trials: []string{two, three}}, later)
@@ -72,7 +74,7 @@
 			g.ApplyEntry(control.Entry{Name: quarantine.RecordKeyFor(poison, "h1"), Removed: true}, later)
 		},
 		"expired": func(g *Guard) { g.Sweep(false, start.Add(24*time.Hour)) },
-		"evicted": func(g *Guard) { bar(g, quarantine.MaxRequests) },
+		"evicted": func(g *Guard) { addBarred(g, quarantine.MaxRequests) },
 	}
 	for name, remove := range removals {
 		t.Run(name, func(t *testing.T) {
@@ -82,8 +84,9 @@
 				g.AddLocal(poison, quarantine.Record{Servers: []string{"a", "b", "c", "d"}, Crashes: 4, Trials: trials}, start)
 				g.AddLocal(popular, quarantine.Record{Servers: []string{"a", "b", "c"}, Crashes: 3, Trials: trials}, later)
 				assert.Equal(t, g.Standing(popular), quarantine.Suspect)
+				// Fill the book, so that one more request evicts the oldest.
 				for i := range quarantine.MaxRequests - 2 {
-					bar(g, i)
+					addBarred(g, i)
 				}
 				time.Sleep(time.Minute) // Refills the rate limit of the log.
 				log.Reset()
--- a/internal/invariant/configuration_test.go
+++ b/internal/invariant/configuration_test.go
@@ -50,7 +50,7 @@
 func (h *configHistory) runSteps(run []step) {
 	cl := h.cl
 	stop := make(chan struct{})
-	cl.sends.Go(func() { cl.watchRevisions(stop) })
+	cl.background.Go(func() { cl.watchRevisions(stop) })
 	for n, s := range run {
 		switch s.Kind {
 		case repartition:
@@ -72,11 +72,11 @@
 func (h *configHistory) apply(n int, s step) {
 	cl := h.cl
 	for racer := range 1 + s.B%2 {
-		cl.sends.Go(func() {
+		cl.background.Go(func() {
 			i := (s.A + racer) % numHosts
 			id := fmt.Sprintf("change-%d-%d", n, racer)
 			next := namedConfig(id)
-			expect := cl.daemons[i].daemon.View().Revision
+			expect := cl.hosts[i].daemon.View().Revision
 			reply, err := cl.apply(i, expect, id, next, time.Second)
 			if s.C%2 == 0 && (err != nil || reply.GetOutcome() == operatorpb.ApplyOutcome_OUTCOME_UNKNOWN) {
 				time.Sleep(time.Second)
@@ -112,7 +112,7 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 		cl.mu.Lock()
-		for i, h := range cl.daemons {
+		for i, h := range cl.hosts {
 			revision := h.daemon.View().Revision
 			if revision < h.lastRevision {
 				cl.violations = append(cl.violations, fmt.Sprintf("configuration: host %d went from revision %d to %d", i, h.lastRevision, revision))
@@ -137,7 +137,7 @@
 			cl.network.Cut(peerAddress(i), peerAddress(j), false)
 		}
 	}
-	cl.sends.Wait()
+	cl.background.Wait()
 	time.Sleep(inForceBound)
 }
 
@@ -160,7 +160,7 @@
 	for _, c := range h.changes {
 		h.checkChange(c, position)
 	}
-	for i, host := range cl.daemons {
+	for i, host := range cl.hosts {
 		if got := host.daemon.View().Revision; got != head.GetRevision() {
 			cl.violationf("configuration: host %d has revision %d after %v, the store has %d", i, got, inForceBound, head.GetRevision())
 		}
@@ -189,24 +189,24 @@
 		cl.platform.SetOutage(true)
 		cl.killHost(1)
 		cl.start(1)
-		if cl.daemons[1].daemon.Ready() {
+		if cl.hosts[1].daemon.Ready() {
 			t.Error("ready without a configuration")
 		}
 		time.Sleep(3 * time.Second)
-		if !cl.daemons[1].daemon.Ready() || cl.daemons[1].daemon.View().Revision != 1 {
-			t.Errorf("revision %d after 3 s in an outage, want 1", cl.daemons[1].daemon.View().Revision)
+		if !cl.hosts[1].daemon.Ready() || cl.hosts[1].daemon.View().Revision != 1 {
+			t.Errorf("revision %d after 3 s in an outage, want 1", cl.hosts[1].daemon.View().Revision)
 		}
 		for i := range numHosts {
 			cl.killHost(i)
 		}
 		cl.start(0)
 		time.Sleep(5 * time.Second)
-		if cl.daemons[0].daemon.Ready() {
+		if cl.hosts[0].daemon.Ready() {
 			t.Error("ready although neither the platform nor a peer was available")
 		}
 		cl.platform.SetOutage(false)
 		time.Sleep(5 * time.Second)
-		if !cl.daemons[0].daemon.Ready() {
+		if !cl.hosts[0].daemon.Ready() {
 			t.Error("not ready after the outage ended")
 		}
 	})
--- a/internal/invariant/input_test.go
+++ b/internal/invariant/input_test.go
@@ -59,7 +59,7 @@
 		minter := int(ticket.Host[len("entry-")] - '0')
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		time.AfterFunc(4*time.Millisecond, cancel)
-		_, _ = cl.daemons[minter].daemon.Ask(ctx, tagRequest("once-a", first.GetTicket()))
+		_, _ = cl.hosts[minter].daemon.Ask(ctx, tagRequest("once-a", first.GetTicket()))
 		for i := range numHosts {
 			again := cl.send(i, tagRequest("once-a", first.GetTicket()), 300*time.Millisecond)
 			assert.Equal(t, again.GetOutcome(), callerpb.Outcome_ANSWERED)
--- a/internal/invariant/nemesis_test.go
+++ b/internal/invariant/nemesis_test.go
@@ -148,15 +148,15 @@
 		desk := []string{"gate-1", "office-1"}[(s.B+burst)%2]
 		ask := &callerpb.AskRequest{Desk: desk, Service: "search", RequestId: fmt.Sprintf("q-%d-%d", n, burst)}
 		timeout := []time.Duration{20, 100, 400}[s.B%3] * time.Millisecond
-		cl.sends.Go(func() { cl.send((s.A+burst)%numHosts, ask, timeout) })
+		cl.background.Go(func() { cl.send((s.A+burst)%numHosts, ask, timeout) })
 	}
 }
 
 // askTag sends a request that is not repeatable as a caller does: it obtains a ticket, sends, and
 // resends through other hosts until it has an answer. The balancer may duplicate a send. If the
-// request was reported as not run, the caller gives up or sends it anew.
+// request was reported as not run, the caller gives up or sends it again with a new ticket.
 func (cl *cluster) askTag(n int, s step) {
-	cl.sends.Go(func() {
+	cl.background.Go(func() {
 		id := fmt.Sprintf("once-%d", n)
 		reply := cl.send(s.A%numHosts, tagRequest(id, nil), 300*time.Millisecond)
 		ticket := reply.GetTicket()
@@ -167,14 +167,14 @@
 				}
 				ticket = reply.GetTicket()
 				if try > 0 {
-					cl.markResent(id)
+					cl.markSentWithNewTicket(id)
 				}
 			}
 			if len(ticket) == 0 || reply.GetOutcome() == callerpb.Outcome_ANSWERED {
 				return
 			}
 			if (s.B+try)%3 == 0 {
-				cl.sends.Go(func() { cl.send((s.A+try+1)%numHosts, tagRequest(id, ticket), 300*time.Millisecond) })
+				cl.background.Go(func() { cl.send((s.A+try+1)%numHosts, tagRequest(id, ticket), 300*time.Millisecond) })
 			}
 			reply = cl.send((s.A+try)%numHosts, tagRequest(id, ticket), 300*time.Millisecond)
 		}
@@ -185,12 +185,12 @@
 	return &callerpb.AskRequest{Desk: "gate-1", Service: "tags", RequestId: id, NotRepeatable: true, Ticket: ticket}
 }
 
-// markResent records that a caller sends a request anew that was reported as not run. The earlier
-// report applies only to the former ticket.
-func (cl *cluster) markResent(id string) {
+// markSentWithNewTicket records that a request that was reported as not run is sent again with a
+// new ticket. The earlier report applies only to the former ticket.
+func (cl *cluster) markSentWithNewTicket(id string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.resent[id] = true
+	cl.sentWithNewTicket[id] = true
 }
 
 // repartition applies another shard map through one of the hosts.
@@ -200,8 +200,8 @@
 	}
 	cl.epoch++
 	next := testConfig(cl.epoch, []int{numShards, numShards + 2, numShards - 1}[s.B%3])
-	cl.sends.Go(func() {
-		revision := cl.daemons[s.A%numHosts].daemon.View().Revision
+	cl.background.Go(func() {
+		revision := cl.hosts[s.A%numHosts].daemon.View().Revision
 		_, _ = cl.apply(s.A%numHosts, revision, fmt.Sprintf("change-%d", n), next, 2*time.Second)
 	})
 }
--- a/internal/invariant/stop_test.go
+++ b/internal/invariant/stop_test.go
@@ -28,10 +28,10 @@
 		if !cl.usable(i) {
 			continue
 		}
-		cl.sends.Go(func() {
+		cl.background.Go(func() {
 			cl.send(i, &callerpb.AskRequest{Desk: "gate-1", Service: "search", RequestId: fmt.Sprintf("load-%d", n)}, 400*time.Millisecond)
 		})
-		cl.sends.Go(func() {
+		cl.background.Go(func() {
 			id := fmt.Sprintf("once-load-%d", n)
 			reply := cl.send(i, tagRequest(id, nil), 400*time.Millisecond)
 			if len(reply.GetTicket()) > 0 {
@@ -60,7 +60,7 @@
 // should.
 func (cl *cluster) drainLeaf(address string, listed bool, killed int, inOutage bool) {
 	stop := make(chan struct{})
-	cl.sends.Go(func() { cl.steadyLoad(stop) })
+	cl.background.Go(func() { cl.steadyLoad(stop) })
 	time.Sleep(time.Second)
 	cl.platform.SetOutage(inOutage)
 	begin := time.Now()
@@ -111,12 +111,12 @@
 // runPlannedStop stops one or two hosts under load and checks that no request was interrupted.
 func (cl *cluster) runPlannedStop(first int, both, inOutage bool) {
 	stop := make(chan struct{})
-	cl.sends.Go(func() { cl.steadyLoad(stop) })
+	cl.background.Go(func() { cl.steadyLoad(stop) })
 	time.Sleep(time.Second)
 	cl.platform.SetOutage(inOutage)
-	cl.sends.Go(func() { cl.stopHost(first) })
+	cl.background.Go(func() { cl.stopHost(first) })
 	if both {
-		cl.sends.Go(func() { cl.stopHost((first + 1) % numHosts) })
+		cl.background.Go(func() { cl.stopHost((first + 1) % numHosts) })
 	}
 	time.Sleep(10 * time.Second)
 	close(stop)
@@ -144,8 +144,8 @@
 // stopHost performs a graceful shutdown: the balancer stops sending after its lag, and the process
 // exits once no request is in flight.
 func (cl *cluster) stopHost(i int) {
-	h := cl.daemons[i]
-	cl.sends.Go(func() {
+	h := cl.hosts[i]
+	cl.background.Go(func() {
 		long := &callerpb.AskRequest{Desk: "gate-1", Service: "search", RequestId: fmt.Sprintf("long-%d", i)}
 		if cl.send(i, long, 6*time.Second) == nil {
 			cl.violationf("graceful stop: a request in flight at host %d was lost", i)
@@ -171,7 +171,7 @@
 // checkHomesMoved checks that no other host still uses a leaving host as the home of a service.
 func (cl *cluster) checkHomesMoved(leaving int) {
 	name := fmt.Sprintf("entry-%d", leaving)
-	for i, h := range cl.daemons {
+	for i, h := range cl.hosts {
 		if i == leaving || !cl.usable(i) {
 			continue
 		}
--- a/internal/invariant/world_test.go
+++ b/internal/invariant/world_test.go
@@ -49,15 +49,17 @@
 	fleet    *leaffake.Fleet
 	network  *peerfake.Network
 	platform *platformfake.Platform
-	daemons  []*host
-	sends    sync.WaitGroup
+	hosts    []*host
+	// background waits for the goroutines that a run starts.
+	background sync.WaitGroup
 
 	mu         sync.Mutex
 	exchanges  []exchange
 	violations []string
-	// resent holds the requests that callers sent anew after they were reported as not run.
-	resent map[string]bool
-	epoch  uint64
+	// sentWithNewTicket holds the requests that were reported as not run and then sent again with
+	// a new ticket.
+	sentWithNewTicket map[string]bool
+	epoch             uint64
 }
 
 // host is an entry host and its state.
@@ -135,27 +137,28 @@
 
 func newCluster() *cluster {
 	cl := &cluster{
-		fleet:    leaffake.New(slotsPerLeaf, serviceTime, oneWayDelay),
-		network:  peerfake.New(oneWayDelay),
-		platform: platformfake.New(),
-		epoch:    1,
-		resent:   map[string]bool{},
+		fleet:             leaffake.New(slotsPerLeaf, serviceTime, oneWayDelay),
+		network:           peerfake.New(oneWayDelay),
+		platform:          platformfake.New(),
+		epoch:             1,
+		sentWithNewTicket: map[string]bool{},
 	}
-	cl.fleet.BeforeSend = cl.gate
+	cl.fleet.BeforeSend = cl.beforeSend
 	for i := range numHosts {
-		cl.daemons = append(cl.daemons, &host{address: peerAddress(i)})
+		cl.hosts = append(cl.hosts, &host{address: peerAddress(i)})
 		cl.start(i)
 	}
 	return cl
 }
 
-// gate blocks the attempts of a frozen host and reports false for those of a dead one.
-func (cl *cluster) gate(attempt string) bool {
+// beforeSend blocks while the host that sends an attempt is frozen, and reports whether the
+// incarnation that began the attempt is still alive.
+func (cl *cluster) beforeSend(attempt string) bool {
 	var name string
 	var incarnation uint64
 	name, rest, _ := strings.Cut(attempt, "/")
 	_, _ = fmt.Sscanf(rest, "%d/", &incarnation)
-	for i, h := range cl.daemons {
+	for i, h := range cl.hosts {
 		if name != fmt.Sprintf("entry-%d", i) {
 			continue
 		}
@@ -169,7 +172,7 @@
 
 // start starts a host as a new incarnation and resets the state observed for it.
 func (cl *cluster) start(i int) {
-	h := cl.daemons[i]
+	h := cl.hosts[i]
 	ctx, cancel := context.WithCancel(context.Background())
 	dependencies := entry.Dependencies{Store: cl.platform, Hosts: cl.platform, Leaves: cl.fleet, Peers: cl.network.Client(h.address)}
 	cl.mu.Lock()
@@ -184,7 +187,7 @@
 
 // killHost ends a host at once; what it has not sent is lost.
 func (cl *cluster) killHost(i int) {
-	h := cl.daemons[i]
+	h := cl.hosts[i]
 	cl.mu.Lock()
 	h.dead = true
 	cl.mu.Unlock()
@@ -194,18 +197,18 @@
 }
 
 func (cl *cluster) freeze(i int) {
-	cl.daemons[i].frozen = true
-	cl.network.Freeze(cl.daemons[i].address)
+	cl.hosts[i].frozen = true
+	cl.network.Freeze(cl.hosts[i].address)
 }
 
 func (cl *cluster) thaw(i int) {
-	cl.daemons[i].frozen = false
-	cl.network.Thaw(cl.daemons[i].address)
+	cl.hosts[i].frozen = false
+	cl.network.Thaw(cl.hosts[i].address)
 }
 
 // usable reports whether the balancer sends requests to a host.
 func (cl *cluster) usable(i int) bool {
-	h := cl.daemons[i]
+	h := cl.hosts[i]
 	return !h.dead && !h.leaving
 }
 
@@ -213,7 +216,7 @@
 func (cl *cluster) apply(i int, expect uint64, id string, c *configpb.Config, timeout time.Duration) (*operatorpb.ApplyReply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return cl.daemons[i].daemon.Operators().Apply(ctx, &operatorpb.ApplyRequest{ExpectRevision: expect, ChangeId: id, Config: c})
+	return cl.hosts[i].daemon.Operators().Apply(ctx, &operatorpb.ApplyRequest{ExpectRevision: expect, ChangeId: id, Config: c})
 }
 
 // setUp applies the first configuration and waits until all hosts are ready.
@@ -224,7 +227,7 @@
 		t.Fatalf("first configuration: %v %v", reply, err)
 	}
 	time.Sleep(2 * time.Second)
-	for i, h := range cl.daemons {
+	for i, h := range cl.hosts {
 		if !h.daemon.Ready() {
 			t.Fatalf("host %d is not ready", i)
 		}
@@ -234,7 +237,7 @@
 // send sends a request to a host and records the reply. It returns nil if the host died before the
 // reply reached the caller; the reply of a frozen host is delayed.
 func (cl *cluster) send(i int, ask *callerpb.AskRequest, timeout time.Duration) *callerpb.AskReply {
-	h := cl.daemons[i]
+	h := cl.hosts[i]
 	cl.network.WaitUntilThawed(h.address)
 	cl.mu.Lock()
 	dead, starts := h.dead, h.starts
@@ -262,13 +265,13 @@
 
 // tearDown waits until all messages in transit have arrived and ends the hosts.
 func (cl *cluster) tearDown() {
-	for i := range cl.daemons {
+	for i := range cl.hosts {
 		cl.thaw(i)
 	}
-	cl.sends.Wait()
+	cl.background.Wait()
 	cl.platform.SetOutage(false)
 	time.Sleep(deliveryBound)
-	for _, h := range cl.daemons {
+	for _, h := range cl.hosts {
 		h.kill()
 	}
 	time.Sleep(deliveryBound)
@@ -315,7 +318,9 @@
 	}
 	switch e.reply.GetOutcome() {
 	case callerpb.Outcome_NOT_RUN:
-		if executed[id] > 0 && !cl.resent[id] && e.reply.GetReason() != callerpb.Reason_TICKET_REQUIRED {
+		// A reply with TICKET_REQUIRED issues a ticket: it says that the request was not run, but the
+		// request may run later with that ticket.
+		if executed[id] > 0 && !cl.sentWithNewTicket[id] && e.reply.GetReason() != callerpb.Reason_TICKET_REQUIRED {
 			cl.violationf("not run: %s (%s) ran %d times", id, e.reply.GetReason(), executed[id])
 		}
 	case callerpb.Outcome_ANSWERED:
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -18,7 +18,7 @@
 type Store interface {
 	config.Store
 	// Watch waits until the version of the value is greater than after and returns
-	// the value, or the error of ctx if that ends first.
+	// the value, or an error if ctx ends first.
 	Watch(ctx context.Context, key string, after uint64) (config.Value, error)
 }
 
--- a/scarcity/oracle_test.go
+++ b/scarcity/oracle_test.go
@@ -66,8 +66,8 @@
 	return last
 }
 
-// model simulates queries over n shards, some of them scarce, whose answers may lack spare
-// shards.
+// model simulates queries over n shards, some of them scarce, whose answers may lack up to
+// maxMissing shards.
 type model struct {
 	n, scarce, maxMissing int
 	perSecond             float64
@@ -81,7 +81,7 @@
 const reportInterval = 10 * time.Millisecond
 
 // simulate returns the share of the queries that are complete in time. If selective is
-// false, each query asks all scarce shards, as without this package.
+// false, each query asks all scarce shards, as without Decide.
 func (m *model) simulate(seed uint64, length time.Duration, selective bool) float64 {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	m.servers = make([]server, m.scarce)
@@ -160,14 +160,15 @@
 }
 
 // Queries that need one or two scarce shards reach 0.8 of the upper bound with current
-// observations and 0.6 with observations three seconds old. If each needs more, slots go to
-// queries that remain incomplete: the last three rows check that the result is no worse than
-// without this package.
+// observations and 0.6 with observations three seconds old. In the last three rows each query needs
+// more than three, and slots also go to queries that remain incomplete: lower shares are required
+// there. In every row the result must be no worse than without Decide, up to a tolerance of 0.02.
 func TestShareOfTheBestPossible(t *testing.T) {
 	for _, row := range []struct {
 		model
-		// fresh and stale are the least shares of the upper bound to reach.
-		fresh, stale float64
+		// minShareFresh and minShareStale are the minimum shares of the upper bound to reach with
+		// current observations and with those three seconds old.
+		minShareFresh, minShareStale float64
 	}{
 		{model{n: 87, scarce: 5, maxMissing: 4, perSecond: 36}, 0.8, 0.6},
 		{model{n: 87, scarce: 6, maxMissing: 4, perSecond: 36}, 0.8, 0.6},
@@ -178,16 +179,16 @@
 		{model{n: 87, scarce: 10, maxMissing: 4, perSecond: 48}, 0.5, 0.5},
 	} {
 		for _, observed := range []struct {
-			age   time.Duration
-			least float64
-		}{{0, row.fresh}, {3 * time.Second, row.stale}} {
+			age      time.Duration
+			minShare float64
+		}{{0, row.minShareFresh}, {3 * time.Second, row.minShareStale}} {
 			m := row.model
 			m.age = observed.age
-			t.Run(fmt.Sprintf("%d of %d scarce, %d spare, age %v", m.scarce, m.n, m.maxMissing, m.age), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d of %d scarce, %d may be missing, age %v", m.scarce, m.n, m.maxMissing, m.age), func(t *testing.T) {
 				with, without := m.simulate(1, 30*time.Second, true), m.simulate(1, 30*time.Second, false)
-				t.Logf("upper bound %.2f, with the package %.2f, without %.2f", m.upperBound(), with, without)
-				assert.Assert(t, with >= observed.least*m.upperBound(), "completed %.2f, upper bound %.2f", with, m.upperBound())
-				assert.Assert(t, with >= without-0.02, "completed %.2f, but %.2f without the package", with, without)
+				t.Logf("upper bound %.2f, with Decide %.2f, without %.2f", m.upperBound(), with, without)
+				assert.Assert(t, with >= observed.minShare*m.upperBound(), "completed %.2f, upper bound %.2f", with, m.upperBound())
+				assert.Assert(t, with >= without-0.02, "completed %.2f, but %.2f without Decide", with, without)
 			})
 		}
 	}
