--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -50,8 +50,8 @@
 	state     *state
 	announcer *announcer
 	records   *recorder
-	// peerRecords sends quarantine records to peers while the store is unreachable.
-	peerRecords     *recorder
+	// relayRecords sends quarantine records to relays while the store is unreachable.
+	relayRecords    *recorder
 	relaysPerDomain int
 	packer          entryPacker
 	rereads         *metrics.Counter
@@ -104,7 +104,7 @@
 	c.relaysPerDomain = config.RelaysPerDomain
 	count := func() int { return c.View().HostCount }
 	c.records = newRecorder(c.writeRecords, config.Log, count)
-	c.peerRecords = newRecorder(c.tellPeers, config.Log, count)
+	c.relayRecords = newRecorder(c.sendRecordsToRelays, config.Log, count)
 	return c
 }
 
@@ -124,7 +124,7 @@
 	c.spawn(func() { c.probePeers(ctx) })
 	c.spawn(func() { c.announcer.run(announceCtx) })
 	c.spawn(func() { c.records.run(ctx) })
-	c.spawn(func() { c.peerRecords.run(ctx) })
+	c.spawn(func() { c.relayRecords.run(ctx) })
 	c.spawn(func() { c.detectSuspensions(ctx) })
 }
 
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -135,12 +135,12 @@
 	notify(r.wake)
 }
 
-// PutRecord queues a quarantine record to be written to the store, and to be sent to peers
+// PutRecord queues a quarantine record to be written to the store, and to be sent to relays
 // while the store is unreachable. It does not block.
 func (c *Control) PutRecord(name string, value []byte) {
 	c.records.put(name, value)
 	if c.storeLost() {
-		c.peerRecords.put(name, value)
+		c.relayRecords.put(name, value)
 	}
 }
 
@@ -148,7 +148,7 @@
 func (c *Control) RemoveRecords(names []string) {
 	c.records.remove(names)
 	if c.storeLost() {
-		c.peerRecords.remove(names)
+		c.relayRecords.remove(names)
 	}
 }
 
--- a/internal/control/tell.go
+++ b/internal/control/tell.go
@@ -10,14 +10,15 @@
 	"github.com/mallowgap/mallowgap/api/relaypb"
 )
 
-// tellTimeout bounds the calls to all relays: several round trips to another region.
+// tellTimeout bounds the calls of one sendRecordsToRelays, which run concurrently: several round
+// trips to another region.
 const tellTimeout = 250 * time.Millisecond
 
-// tellPeers sends quarantine records to the relays of every failure domain while the store is
-// unreachable. Queries of all hosts pass through some of these relays, which then stop a
-// request that crashes servers although other hosts cannot read its record. A relay that
-// cannot be reached reads the records when the store is back.
-func (c *Control) tellPeers(ctx context.Context, puts map[string][]byte, remove []string) error {
+// sendRecordsToRelays sends quarantine records to the relays of all failure domains while the
+// store is unreachable, so that they stop poison requests. Queries of all hosts pass through
+// some of these relays. Failed sends are logged and not repeated, since a relay reads the
+// records when the store is back; the result is always nil.
+func (c *Control) sendRecordsToRelays(ctx context.Context, puts map[string][]byte, remove []string) error {
 	var entries []Entry
 	for _, name := range slices.Sorted(maps.Keys(puts)) {
 		entries = append(entries, Entry{Kind: relaypb.EntryKind_QUARANTINE, Name: name, Value: puts[name]})
@@ -33,15 +34,15 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	relays := c.otherRelays()
-	for _, h := range relays {
+	for _, relay := range relays {
 		wg.Go(func() {
-			if err := c.peers.Tell(ctx, h.Address, request); err != nil {
-				c.log.Info().Err(err).Str("peer", h.Name).Msg("failed to send quarantine records to a peer: it reads them when the store is back")
+			if err := c.peers.Tell(ctx, relay.Address, request); err != nil {
+				c.log.Info().Err(err).Str("peer", relay.Name).Msg("failed to send quarantine records to a relay: it reads them when the store is back")
 			}
 		})
 	}
 	wg.Wait()
-	c.log.Info().Int("records", len(puts)).Int("removed", len(remove)).Int("peers", len(relays)).Msg("store unreachable: quarantine records sent to peers")
+	c.log.Info().Int("records", len(puts)).Int("removed", len(remove)).Int("peers", len(relays)).Msg("store unreachable: tried to send quarantine records to relays")
 	return nil
 }
 
@@ -50,16 +51,16 @@
 	v := c.View()
 	var all []Host
 	for domain := range v.Hosts {
-		for _, h := range v.Relays(domain, c.relaysPerDomain) {
-			if h.Name != c.name && !c.health.Suspected(h.Address) {
-				all = append(all, h)
+		for _, relay := range v.Relays(domain, c.relaysPerDomain) {
+			if relay.Name != c.name && !c.health.Suspected(relay.Address) {
+				all = append(all, relay)
 			}
 		}
 	}
 	return all
 }
 
-// Tell implements the relay protocol. It applies quarantine records received from a peer.
+// Tell implements the relay protocol. It applies quarantine records that another host sent.
 func (c *Control) Tell(ctx context.Context, request *relaypb.TellRequest) *relaypb.TellReply {
 	c.state.do(ctx, func() {
 		for _, e := range decodeEntries(request.GetEntries()) {
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -135,7 +135,7 @@
 	d.ctx = ctx
 	go d.control.run(ctx)
 	go d.bootstrap(ctx)
-	go d.heartbeatLoop(ctx)
+	go d.probeLoop(ctx)
 	go d.watchStore(ctx)
 	go d.pollHostList(ctx)
 	go d.announceState(ctx, platformpb.HostState_LIVE)
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -15,8 +15,8 @@
 // pushFanout is the number of members that a change is sent to at once.
 const pushFanout = 3
 
-// heartbeatLoop probes one member per heartbeat interval until ctx ends.
-func (d *Daemon) heartbeatLoop(ctx context.Context) {
+// probeLoop probes one member per heartbeat interval of the settings until ctx ends.
+func (d *Daemon) probeLoop(ctx context.Context) {
 	ticker := time.NewTicker(d.settings.GetMembership().GetHeartbeat().AsDuration())
 	defer ticker.Stop()
 	for {
@@ -29,14 +29,14 @@
 		var found bool
 		d.control.do(func() { target, found = d.control.members.Probe() })
 		if found {
-			go d.sendHeartbeat(ctx, target, false)
+			go d.exchangeFacts(ctx, target, false)
 		}
 	}
 }
 
-// sendHeartbeat probes a member, exchanges facts with it and reports whether it
+// exchangeFacts probes a member by exchanging facts with it, and reports whether it
 // replied. With fullTable, it asks for all facts of the member.
-func (d *Daemon) sendHeartbeat(ctx context.Context, target member.Fact, fullTable bool) bool {
+func (d *Daemon) exchangeFacts(ctx context.Context, target member.Fact, fullTable bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.GetMembership().GetHeartbeatTimeout().AsDuration())
 	defer cancel()
 	var message *peerpb.GossipMessage
@@ -105,7 +105,8 @@
 	})
 }
 
-// Gossip handles a heartbeat of another host and replies with the facts of this one.
+// Gossip handles a probe by another host: it merges the facts in the message and replies with
+// those of this host.
 func (d *Daemon) Gossip(_ context.Context, message *peerpb.GossipMessage) (*peerpb.GossipMessage, error) {
 	d.mergeGossip(message, false)
 	var reply *peerpb.GossipMessage
@@ -131,8 +132,9 @@
 	return reply, nil
 }
 
-// pushUpdates sends recent changes to a few random members without waiting for the next
-// heartbeat.
+// pushUpdates exchanges facts with a few random members at once, without waiting for the
+// next probe. Each send counts as a probe: a member that does not reply becomes suspect, or
+// dead if it was leaving.
 func (d *Daemon) pushUpdates(ctx context.Context) {
 	var others []member.Fact
 	v := d.control.view()
@@ -143,12 +145,13 @@
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	for _, m := range others[:min(pushFanout, len(others))] {
-		go d.sendHeartbeat(ctx, m, false)
+		go d.exchangeFacts(ctx, m, false)
 	}
 }
 
-// join exchanges all facts with a few hosts of the host list and the seeds. It reports
-// whether one of them replied or the host list was read.
+// join requests all facts from the seeds and then from the hosts of the host list, one after
+// the other, until bootstrapPeers of them have replied. It returns false if no host replied
+// and the host list could not be read.
 func (d *Daemon) join(ctx context.Context) bool {
 	hosts, err := d.readHostList(ctx)
 	targets := d.seeds()
@@ -159,7 +162,7 @@
 	}
 	answered := 0
 	for _, address := range targets {
-		if address != d.settings.GetListen().GetPeers() && d.sendHeartbeat(ctx, member.Fact{Address: address}, true) {
+		if address != d.settings.GetListen().GetPeers() && d.exchangeFacts(ctx, member.Fact{Address: address}, true) {
 			answered++
 		}
 		if answered >= bootstrapPeers {
--- a/internal/guard/doc.go
+++ b/internal/guard/doc.go
@@ -7,6 +7,6 @@
 //     store replaces the previous one of that host.
 //   - Every request that becomes barred closes the channel of BarredSignal and is logged, whether
 //     the cause is a record of the request, a change of another request to which its crashes were
-//     attributed, or the passing of time. For this, each operation ends by publishing the changes
+//     attributed, or the passing of time. For this, each operation ends by processing the changes
 //     that the book returns.
 package guard
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -17,16 +17,15 @@
 )
 
 const (
-	// logLinesPerSecond limits the log lines of a process about crashes and quarantine. The
-	// limit is separate because an outage that a poison request causes exhausts the common one
-	// with failed calls.
+	// logLinesPerSecond limits the log lines of the guard, separately from those of other packages:
+	// during an outage that a poison request causes, failed calls exhaust their limit.
 	logLinesPerSecond = 20
 	// SweepInterval is the interval at which expired records should be removed.
 	SweepInterval = 10 * time.Second
 )
 
 var (
-	serversEnded      = metrics.GetOrCreateCounter("mallowgap_servers_ended_under_requests_total")
+	serversCrashed    = metrics.GetOrCreateCounter("mallowgap_servers_ended_under_requests_total")
 	quarantineRefused = metrics.GetOrCreateCounter("mallowgap_quarantine_refused_total")
 	quarantineCleared = metrics.GetOrCreateCounter("mallowgap_quarantine_cleared_total")
 )
@@ -42,8 +41,8 @@
 	host  string
 	log   zerolog.Logger
 	store RecordStore
-	// known is the number of requests in the book, readable without mu.
-	known atomic.Int64
+	// requestCount is the number of requests in the book, readable without mu.
+	requestCount atomic.Int64
 
 	mu   sync.Mutex
 	book *quarantine.Book
@@ -62,7 +61,7 @@
 }
 
 // Active reports whether the book contains any request. It does not lock.
-func (g *Guard) Active() bool { return g.known.Load() > 0 }
+func (g *Guard) Active() bool { return g.requestCount.Load() > 0 }
 
 // Standing returns the standing of a request.
 func (g *Guard) Standing(f quarantine.Fingerprint) quarantine.Standing {
@@ -86,7 +85,7 @@
 	return g.book.Summary(f)
 }
 
-// BarredSignal returns a channel that is closed when the next request becomes barred.
+// BarredSignal returns a channel that is closed when any request becomes barred next.
 func (g *Guard) BarredSignal() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,11 +100,11 @@
 	return g.book.DueTrial(f, versions, now)
 }
 
-// publishChanges logs the pending changes of the book and signals each request that becomes barred,
-// so that its calls in flight end. source names the origin of the changes in the log. The caller
-// must hold g.mu.
-func (g *Guard) publishChanges(source string) {
-	g.known.Store(int64(g.book.Len()))
+// processChanges updates requestCount, logs the pending changes of the book, and closes barredSignal
+// if a request became barred. Each waiter then checks the standing of its own request. source names
+// the origin of the changes in the log. The caller must hold g.mu.
+func (g *Guard) processChanges(source string) {
+	g.requestCount.Store(int64(g.book.Len()))
 	for _, c := range g.book.TakeChanges() {
 		if c.Now.Standing == quarantine.Barred {
 			close(g.barredSignal)
@@ -147,7 +146,7 @@
 // addLocked implements AddLocal. The caller must hold g.mu.
 func (g *Guard) addLocked(f quarantine.Fingerprint, seen quarantine.Record, now time.Time) {
 	record := g.book.AddLocal(f, seen, now)
-	g.publishChanges(g.host)
+	g.processChanges(g.host)
 	g.storeRecord(f, record)
 }
 
@@ -159,8 +158,10 @@
 	g.brokenCalls.Add(c)
 }
 
-// ServerCrashed records that the process of a server ended without draining. The recent broken
-// calls to it are counted as crashes.
+// ServerCrashed records that the registry shows the end of a process: its entry was replaced by that
+// of a later process, or was removed although the server was not draining. process identifies one
+// run of the server, under which its calls are recorded; server is the ID of the server. The recent
+// broken calls to the process are counted as crashes.
 func (g *Guard) ServerCrashed(process, server, service string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,7 +181,7 @@
 		return
 	}
 	quarantineCleared.Inc()
-	g.publishChanges(g.host)
+	g.processChanges(g.host)
 	g.storeRecord(f, own)
 	g.store.RemoveRecords(obsolete)
 }
@@ -204,7 +205,7 @@
 		g.log.Warn().Err(err).Str("entry", e.Name).Msg("quarantine entry is invalid and ignored")
 		return
 	}
-	g.publishChanges(key.Host)
+	g.processChanges(key.Host)
 }
 
 // ApplyEntryTo applies an entry of the store to a book, and returns the parsed name of the entry.
@@ -228,18 +229,18 @@
 	return key, nil
 }
 
-// Sweep removes expired requests from the book, and from the store if this host reads the store
-// itself.
-func (g *Guard) Sweep(readsStore bool, now time.Time) {
+// Sweep removes expired requests from the book and, if removeFromStore is set, their records and
+// claims from the store.
+func (g *Guard) Sweep(removeFromStore bool, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	names := g.book.RemoveExpired(now)
-	g.publishChanges("time")
+	g.processChanges("time")
 	if len(names) == 0 {
 		return
 	}
-	g.log.Info().Int("records", len(names)).Bool("removed_here", readsStore).Msg("quarantine records expired")
-	if readsStore {
+	g.log.Info().Int("records", len(names)).Bool("removed_here", removeFromStore).Msg("quarantine records expired")
+	if removeFromStore {
 		g.store.RemoveRecords(names)
 	}
 }
@@ -255,9 +256,12 @@
 	}
 }
 
-// LogCrash logs and counts the crash of a server while it ran a request.
+// LogCrash logs and counts the crash of a server while it ran a request. reason names the evidence.
+// For a failed call, it is the error of the call, after which nothing listened at the address of
+// the server. ServerCrashed has other evidence: the connection of the call broke, and the registry
+// shows that the process ended; whether its address is in use again was not checked.
 func (g *Guard) LogCrash(f quarantine.Fingerprint, request, server, service string, elapsed time.Duration, reason string, crash quarantine.Crash) {
-	serversEnded.Inc()
+	serversCrashed.Inc()
 	g.log.Warn().Str("request", request).Stringer("fingerprint", f).Str("server", server).Str("service", service).Str("version", crash.Version).
 		Dur("elapsed", elapsed).Str("reason", reason).Bool("trial", crash.OnTrial).Msg("server ended with a request: nothing listens at its address")
 }
--- a/internal/invariant/stop_test.go
+++ b/internal/invariant/stop_test.go
@@ -16,7 +16,9 @@
 // drainBound is the time after which a leaving leaf must get no new requests.
 const drainBound = 5 * time.Second
 
-// steadyLoad sends requests to both services through all usable hosts until stop is closed.
+// steadyLoad sends search requests, and tag requests that must run at most once, through all usable
+// hosts in turn until stop is closed. A tag request to which the reply contains a ticket is sent
+// again with the ticket, through the next host.
 func (cl *cluster) steadyLoad(stop <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -56,8 +58,11 @@
 	})
 }
 
-// drainLeaf drains a leaf under load, restarts it, and checks that it got requests only when it
-// should.
+// drainLeaf drains a leaf under load, restarts it, and checks that it got no request later than
+// drainBound after the drain began, and got requests again after the restart. If listed is set, the
+// host list announces that the leaf is leaving, otherwise the leaf reports it itself. killed is the
+// host that is killed and started again during the drain, or -1 for none. If inOutage is set, the
+// platform has an outage during the drain.
 func (cl *cluster) drainLeaf(address string, listed bool, killed int, inOutage bool) {
 	stop := make(chan struct{})
 	cl.sends.Go(func() { cl.steadyLoad(stop) })
@@ -103,13 +108,14 @@
 		failOnViolations(rt, withCluster(t, func(_ *testing.T, cl *cluster) {
 			cl.fleet.SetFaults(leafAddress(0), leaffake.Faults{Slow: slow})
 			cl.fleet.SetFaults(leafAddress(1), leaffake.Faults{Slow: slow})
-			cl.runPlannedStop(first, both, inOutage)
+			cl.runGracefulShutdown(first, both, inOutage)
 		}))
 	})
 }
 
-// runPlannedStop stops one or two hosts under load and checks that no request was interrupted.
-func (cl *cluster) runPlannedStop(first int, both, inOutage bool) {
+// runGracefulShutdown shuts down one or two hosts gracefully under load, and checks that no request
+// failed because of it.
+func (cl *cluster) runGracefulShutdown(first int, both, inOutage bool) {
 	stop := make(chan struct{})
 	cl.sends.Go(func() { cl.steadyLoad(stop) })
 	time.Sleep(time.Second)
@@ -123,15 +129,15 @@
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	for _, e := range cl.exchanges {
-		if wasInterrupted(e.reply.GetReason()) {
-			cl.violations = append(cl.violations, fmt.Sprintf("graceful stop: %s got %v %v", e.ask.GetRequestId(), e.reply.GetOutcome(), e.reply.GetReason()))
+		if isStopFailure(e.reply.GetReason()) {
+			cl.violations = append(cl.violations, fmt.Sprintf("graceful shutdown: %s got %v %v", e.ask.GetRequestId(), e.reply.GetOutcome(), e.reply.GetReason()))
 		}
 	}
 }
 
-// wasInterrupted reports whether a reason means that a request was interrupted rather than refused
-// for lack of capacity.
-func wasInterrupted(reason callerpb.Reason) bool {
+// isStopFailure reports whether a reason can result from the stop of a host; refusals for lack of
+// capacity cannot.
+func isStopFailure(reason callerpb.Reason) bool {
 	switch reason {
 	case callerpb.Reason_PEER_LOST, callerpb.Reason_NOT_READY, callerpb.Reason_TICKET_HOST_GONE,
 		callerpb.Reason_LEAF_LOST, callerpb.Reason_CANCELLED, callerpb.Reason_NO_REPLICA:
@@ -148,38 +154,40 @@
 	cl.sends.Go(func() {
 		long := &callerpb.AskRequest{Desk: "gate-1", Service: "search", RequestId: fmt.Sprintf("long-%d", i)}
 		if cl.send(i, long, 6*time.Second) == nil {
-			cl.violationf("graceful stop: a request in flight at host %d was lost", i)
+			cl.violationf("graceful shutdown: a request in flight at host %d was lost", i)
 		}
 	})
-	leaving, stopped := context.WithCancel(context.Background())
-	defer stopped()
-	h.daemon.BeginStop(leaving)
+	stopCtx, cancelStop := context.WithCancel(context.Background())
+	defer cancelStop()
+	h.daemon.BeginStop(stopCtx)
 	time.Sleep(time.Second)
 	cl.mu.Lock()
-	h.leaving = true
+	h.stopping = true
 	cl.mu.Unlock()
 	cl.checkHomesMoved(i)
 	time.Sleep(time.Second)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if cut := h.daemon.WaitDrained(ctx); cut > 0 {
-		cl.violationf("graceful stop: %d requests still in flight at host %d", cut, i)
+	if inFlight := h.daemon.WaitDrained(ctx); inFlight > 0 {
+		cl.violationf("graceful shutdown: %d requests still in flight at host %d", inFlight, i)
 	}
+	// No request is in flight, so ending the process loses nothing.
 	cl.killHost(i)
 }
 
-// checkHomesMoved checks that no other host still uses a leaving host as the home of a service.
-func (cl *cluster) checkHomesMoved(leaving int) {
-	name := fmt.Sprintf("entry-%d", leaving)
+// checkHomesMoved checks that no other host still uses a host that is shutting down as the home of a
+// service.
+func (cl *cluster) checkHomesMoved(stopping int) {
+	name := fmt.Sprintf("entry-%d", stopping)
 	for i, h := range cl.daemons {
-		if i == leaving || !cl.usable(i) {
+		if i == stopping || !cl.usable(i) {
 			continue
 		}
 		for _, service := range []string{"search", "tags"} {
 			placed, _ := h.daemon.View().Service(service)
 			for _, m := range placed.Homes {
 				if m.Host == name {
-					cl.violationf("graceful stop: host %d still has %s as a home of %s", i, name, service)
+					cl.violationf("graceful shutdown: host %d still has %s as a home of %s", i, name, service)
 				}
 			}
 		}
--- a/internal/invariant/world_test.go
+++ b/internal/invariant/world_test.go
@@ -67,7 +67,7 @@
 	starts       uint64
 	kill         context.CancelFunc
 	dead         bool
-	leaving      bool
+	stopping     bool
 	frozen       bool
 	lastRevision uint64
 }
@@ -174,7 +174,7 @@
 	dependencies := entry.Dependencies{Store: cl.platform, Hosts: cl.platform, Leaves: cl.fleet, Peers: cl.network.Client(h.address)}
 	cl.mu.Lock()
 	h.starts++
-	h.dead, h.leaving, h.lastRevision = false, false, 0
+	h.dead, h.stopping, h.lastRevision = false, false, 0
 	h.daemon = entry.New(hostSettings(i), dependencies, h.starts, zerolog.Nop())
 	h.kill = cancel
 	cl.mu.Unlock()
@@ -206,7 +206,7 @@
 // usable reports whether the balancer sends requests to a host.
 func (cl *cluster) usable(i int) bool {
 	h := cl.daemons[i]
-	return !h.dead && !h.leaving
+	return !h.dead && !h.stopping
 }
 
 // apply applies a configuration through a host.
--- a/member/table.go
+++ b/member/table.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// retransmitFactor times the bit length of the number of members is how
-	// often an update is sent.
+	// An update is sent retransmitFactor * bits.Len(n) times, where n is the number
+	// of hosts in the table.
 	retransmitFactor = 3
-	// maxFacts bounds the facts in one message.
+	// maxFacts bounds the result of PendingFacts.
 	maxFacts = 16
 	// deadProbeInterval is the number of probes of which one goes to a dead
 	// member, so that the two sides of a healed partition rejoin.
 	deadProbeInterval = 8
 	// deadRetention is how long the tombstone of a dead member is kept, so that
-	// the outdated host list does not add it again.
+	// the platform's host list, which may be out of date, does not add it again.
 	deadRetention = 10 * time.Minute
 )
 
@@ -31,8 +31,9 @@
 
 type record struct {
 	fact Fact
-	// stateSince is when this host first learned of the current state.
-	stateSince time.Time
+	// factSince is when fact last changed; the suspicion timeout and the retention
+	// of dead members count from it.
+	factSince time.Time
 	// transmits counts how often the fact was sent.
 	transmits int
 	queued    bool
@@ -44,8 +45,8 @@
 	rng      *rand.Rand
 	self     Fact
 	records  map[string]*record
-	// broadcasts are the records still to be sent to other members.
-	broadcasts []*record
+	// pending are the records still to be sent to other members.
+	pending []*record
 	// probeOrder lists the members not yet probed in this round; the last is next.
 	probeOrder    []string
 	probeCount    int
@@ -99,7 +100,7 @@
 
 // Probe returns the member to probe next, and false if there is none. In each
 // round, all members that are not dead are probed once, in random order. Every
-// deadProbeInterval probes, a dead member is probed as well.
+// deadProbeInterval-th call returns a random dead member instead, if there is one.
 func (t *Table) Probe() (Fact, bool) {
 	t.probeCount++
 	if t.probeCount%deadProbeInterval == 0 && t.deadCount > 0 {
@@ -107,7 +108,7 @@
 			return dead, true
 		}
 	}
-	for range 2 {
+	for range 2 { // The second pass reads the refilled order.
 		for len(t.probeOrder) > 0 {
 			host := t.probeOrder[len(t.probeOrder)-1]
 			t.probeOrder = t.probeOrder[:len(t.probeOrder)-1]
@@ -149,7 +150,7 @@
 func (t *Table) LoadFacts(facts []Fact, now time.Time) {
 	for _, f := range facts {
 		if f.Host != t.self.Host && t.records[f.Host] == nil {
-			t.records[f.Host] = &record{fact: f, stateSince: now}
+			t.records[f.Host] = &record{fact: f, factSince: now}
 			t.adjustCount(f.State, 1)
 			t.invalidate()
 		} else {
@@ -176,7 +177,7 @@
 	}
 	old := t.records[f.Host]
 	if old == nil {
-		r := &record{fact: f, stateSince: now}
+		r := &record{fact: f, factSince: now}
 		t.records[f.Host] = r
 		t.adjustCount(f.State, 1)
 		t.enqueue(r)
@@ -188,7 +189,7 @@
 	t.adjustCount(old.fact.State, -1)
 	t.adjustCount(f.State, 1)
 	old.fact = f
-	old.stateSince = now
+	old.factSince = now
 	t.enqueue(old)
 	return true
 }
@@ -205,7 +206,7 @@
 }
 
 func (t *Table) broadcastSelf() {
-	for _, r := range t.broadcasts {
+	for _, r := range t.pending {
 		if r.fact.Host == t.self.Host {
 			r.fact = t.self
 			r.transmits = 0
@@ -229,7 +230,7 @@
 	r.transmits = 0
 	if !r.queued {
 		r.queued = true
-		t.broadcasts = append(t.broadcasts, r)
+		t.pending = append(t.pending, r)
 	}
 	t.invalidate()
 }
@@ -265,20 +266,20 @@
 	if t.suspectCount == 0 && t.deadCount == 0 {
 		return nil
 	}
-	var confirmed []Fact
+	var newlyDead []Fact
 	for host, r := range t.records {
-		if r.fact.State == Suspect && now.Sub(r.stateSince) >= t.settings.SuspicionTimeout {
+		if r.fact.State == Suspect && now.Sub(r.factSince) >= t.settings.SuspicionTimeout {
 			claim := r.fact
 			claim.State = Dead
 			t.merge(claim, now)
-			confirmed = append(confirmed, claim)
+			newlyDead = append(newlyDead, claim)
 		}
-		if r.fact.State == Dead && now.Sub(r.stateSince) >= deadRetention {
+		if r.fact.State == Dead && now.Sub(r.factSince) >= deadRetention {
 			t.adjustCount(Dead, -1)
 			delete(t.records, host)
 		}
 	}
-	return confirmed
+	return newlyDead
 }
 
 // Leave marks this host as leaving and broadcasts the change.
@@ -287,20 +288,20 @@
 	t.broadcastSelf()
 }
 
-// PendingFacts returns the updates to piggyback on the next message. If more are
-// pending than fit, those sent least often take precedence.
+// PendingFacts returns at most maxFacts updates to piggyback on the next message. If
+// more are pending, those sent least often take precedence.
 func (t *Table) PendingFacts() []Fact {
 	limit := retransmitFactor * bits.Len(uint(len(t.records)+1))
-	n := min(len(t.broadcasts), maxFacts)
-	if len(t.broadcasts) > maxFacts {
-		slices.SortStableFunc(t.broadcasts, func(a, b *record) int { return a.transmits - b.transmits })
+	n := min(len(t.pending), maxFacts)
+	if len(t.pending) > maxFacts {
+		slices.SortStableFunc(t.pending, func(a, b *record) int { return a.transmits - b.transmits })
 	}
 	facts := make([]Fact, 0, n)
-	for _, r := range t.broadcasts[:n] {
+	for _, r := range t.pending[:n] {
 		facts = append(facts, r.fact)
 		r.transmits++
 	}
-	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(r *record) bool {
+	t.pending = slices.DeleteFunc(t.pending, func(r *record) bool {
 		if r.transmits < limit {
 			return false
 		}
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -109,7 +109,7 @@
 }
 
 // Facts received when joining are not broadcast, since the other hosts have them.
-func TestAdoptedFactsAreNotPassedOn(t *testing.T) {
+func TestLoadedFactsAreNotBroadcast(t *testing.T) {
 	a := table(0)
 	for range 100 {
 		a.PendingFacts()
--- a/retry/window.go
+++ b/retry/window.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// windowBuckets is the number of time buckets of a window. A bucket counts until the last
-// of its attempts has left the window.
-const windowBuckets = 20
+// windowSlots is the number of time slots of a window. A slot counts until the last of its
+// attempts has left the window.
+const windowSlots = 20
 
-// Window bounds the extra attempts of one service in a sliding time window to a share of
-// its first attempts in the same window plus a constant slack. It is not safe for
-// concurrent use.
+// Window bounds the extra attempts (retries and hedges) of one service in a sliding time
+// window to a share of its first attempts in the same window plus a constant slack. It is
+// not safe for concurrent use.
 type Window struct {
 	span time.Duration
-	// epoch is the start of bucket 0, one span before the first use. It has a monotonic
-	// clock reading, so that changes of the wall clock have no effect.
+	// epoch is the start of slot 0. It is one span before the first use, so that the first
+	// window contains no negative slot numbers. It has a monotonic clock reading, so that
+	// changes of the wall clock have no effect.
 	epoch time.Time
-	// buckets is a ring, indexed by the bucket number modulo its length.
-	buckets [windowBuckets + 1]windowBucket
+	// slots is a ring, indexed by the slot number modulo its length.
+	slots [windowSlots + 1]windowSlot
 }
 
-// windowBucket counts the attempts of one time bucket.
-type windowBucket struct {
-	// number is the position of the bucket since epoch.
+// windowSlot counts the attempts of one time slot.
+type windowSlot struct {
+	// number is the position of the slot since epoch.
 	number       int64
 	first, extra int
 }
@@ -29,7 +30,7 @@
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
 // AddFirstAttempts records n first attempts.
-func (w *Window) AddFirstAttempts(n int, now time.Time) { w.bucket(now).first += n }
+func (w *Window) AddFirstAttempts(n int, now time.Time) { w.slot(now).first += n }
 
 // Take reports whether an extra attempt is permitted, and records it if so: including it,
 // the extra attempts in the window are at most share times the first attempts plus slack.
@@ -45,36 +46,36 @@
 	if float64(extra+1) > permitted || float64(extra) >= fraction*permitted {
 		return false
 	}
-	w.bucket(now).extra++
+	w.slot(now).extra++
 	return true
 }
 
 // Counts returns the numbers of first and extra attempts in the window that ends at now.
 func (w *Window) Counts(now time.Time) (first, extra int) {
-	oldest := w.bucketNumber(now) - windowBuckets
-	for i := range w.buckets {
-		if b := &w.buckets[i]; b.number >= oldest {
-			first += b.first
-			extra += b.extra
+	oldest := w.slotNumber(now) - windowSlots
+	for i := range w.slots {
+		if s := &w.slots[i]; s.number >= oldest {
+			first += s.first
+			extra += s.extra
 		}
 	}
 	return first, extra
 }
 
-// bucketNumber returns the number of the bucket of now.
-func (w *Window) bucketNumber(now time.Time) int64 {
+// slotNumber returns the number of the slot of now.
+func (w *Window) slotNumber(now time.Time) int64 {
 	if w.epoch.IsZero() {
 		w.epoch = now.Add(-w.span)
 	}
-	return int64(now.Sub(w.epoch) / (w.span / windowBuckets))
+	return int64(now.Sub(w.epoch) / (w.span / windowSlots))
 }
 
-// bucket returns the bucket of now, which is reset if it still holds an earlier one.
-func (w *Window) bucket(now time.Time) *windowBucket {
-	number := w.bucketNumber(now)
-	b := &w.buckets[number%int64(len(w.buckets))]
-	if b.number != number {
-		*b = windowBucket{number: number}
+// slot returns the slot of now, which is reset if it still holds an earlier one.
+func (w *Window) slot(now time.Time) *windowSlot {
+	number := w.slotNumber(now)
+	s := &w.slots[number%int64(len(w.slots))]
+	if s.number != number {
+		*s = windowSlot{number: number}
 	}
-	return b
+	return s
 }
--- a/route/table.go
+++ b/route/table.go
@@ -15,7 +15,8 @@
 	byHost   map[string][]*Entry
 	services map[string]Service
 	shards   map[string]bool
-	// shardSets holds the distinct shard sets of the queries.
+	// shardSets holds the distinct lists of shards of the queries, in the order given.
+	// Lists that differ only in their order are distinct.
 	shardSets  [][]string
 	routeNames map[string]bool
 }
@@ -24,8 +25,8 @@
 type Entry struct {
 	Route
 	split roundRobin
-	// MaxMissing is, for a query, the number of shards that the answer to any query over
-	// the same shards may lack.
+	// MaxMissing is, for a query, the number of shards that may be missing from its
+	// answer under the strictest MinShare of all queries over the same list of shards.
 	MaxMissing int
 }
 
@@ -49,7 +50,8 @@
 	return t
 }
 
-// computeMaxMissing sets MaxMissing of each query.
+// computeMaxMissing determines, for each list of shards, how many may be missing under the
+// strictest MinShare of the queries over it, and sets MaxMissing of these queries.
 func (t *Table) computeMaxMissing() {
 	maxMissing := make([]int, len(t.shardSets))
 	for i, set := range t.shardSets {
@@ -81,7 +83,8 @@
 	}
 }
 
-// ShardSets returns the distinct sets of shards of the queries.
+// ShardSets returns the distinct lists of shards of the queries, in the order given. Lists
+// that differ only in their order are distinct.
 func (t *Table) ShardSets() [][]string { return t.shardSets }
 
 // IsShard reports whether a service is a shard of a query.
--- a/scarcity/scarcity.go
+++ b/scarcity/scarcity.go
@@ -68,8 +68,8 @@
 
 // Requirements are the requirements of one query.
 type Requirements struct {
-	// Needed is the number of shards that the answer must contain. Spare is the number
-	// that may be missing from an answer to any query over the same shards.
+	// Needed is the number of shards that the answer must contain. MaxMissing is the
+	// number that may be missing from an answer to any query over the same shards.
 	Needed, MaxMissing int
 	// Objective is the time within which an answer has its full value, Remaining what remains
 	// of it.
--- a/scarcity/scarcity_test.go
+++ b/scarcity/scarcity_test.go
@@ -95,7 +95,7 @@
 		n := rapid.IntRange(3, 140).Draw(t, "shards")
 		scarce := rapid.IntRange(1, n/3).Draw(t, "scarce")
 		requirements := scarcity.Requirements{
-			Needed: rapid.IntRange(1, n).Draw(t, "needed"), MaxMissing: rapid.IntRange(0, n).Draw(t, "spare"),
+			Needed: rapid.IntRange(1, n).Draw(t, "needed"), MaxMissing: rapid.IntRange(0, n).Draw(t, "max missing"),
 			Objective: objective, Remaining: time.Duration(rapid.IntRange(0, 300).Draw(t, "left")) * time.Millisecond,
 		}
 		shards := shardsOf(n, scarce)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -23,7 +23,7 @@
     echo "BROKEN   $test: $meaning: $(grep -m1 . "$scratch/out")"
     survived=1
   else
-    echo "caught   $test: $meaning: $(grep -m1 -oE '(snapshot|coverage|correlation|not run|at most once|draining|graceful stop|configuration): .{0,80}|panic.{0,60}|build failed|assertion failed.{0,60}|failed after.{0,60}' "$scratch/out")"
+    echo "caught   $test: $meaning: $(grep -m1 -oE '(snapshot|coverage|correlation|not run|at most once|draining|graceful shutdown|configuration): .{0,80}|panic.{0,60}|build failed|assertion failed.{0,60}|failed after.{0,60}' "$scratch/out")"
   fi
 done <<'LIST'
 TestInvariantSnapshot@scatter/gather.go@s/if part.Snapshot.Version != g.snapshot.Version \{/if false {/@a part of another index version is merged
@@ -125,14 +125,14 @@
 TestRequestInHandEndsWithASuspension@internal/gateway/sleep.go@s/q.end, q.due, q.dispatchBy = q.end.Add\(-added\)/q.end, q.due, q.dispatchBy = q.end.Add(0)/; s/\tq.state.AddSuspension\(added\)\n//@the deadline of a request in flight ignores a suspension
 TestCrashIsAttributedToOneRequest@quarantine/standing.go@s/if other.Standing == Barred && other.outweighs\(s\) \{/if false {/@an end counts against every request on the server
 TestStanding@quarantine/standing.go@s/if !h.servedAt.IsZero\(\) \{\n\t\ts.Standing = min/if false {\n\t\ts.Standing = min/@a request that was served is barred anyway
-TestBarAfterServedGraceIsPublished@internal/guard/guard.go@s/g.publishChanges\("time"\)/g.known.Store(int64(g.book.Len()))/@a bar that starts by passage of time is not announced
+TestBarAfterServedGraceIsPublished@internal/guard/guard.go@s/g.processChanges\("time"\)/g.requestCount.Store(int64(g.book.Len()))/@a bar that starts by passage of time is not announced
 TestBarFollowingRemovalOfAnotherIsPublished@quarantine/standing.go@s/\n\tb.updateRelated\([a-z.]+\)//g@a bar that starts as another ends is not announced
 TestQueryUnderWayEndsWhenItsContentIsBarred@internal/home/query.go@s/q.recheckBarred\(\)/q.quarantine.barredChanged = nil/@queries in flight are not notified of a bar
 TestTrialsLeaveShardsEnoughToServeOthers@internal/gateway/trial.go@s/running := q.running\(\)/running := t.shard >= 0 && q.state.Running(t.shard) > 0/@a trial starts while other calls are running
 TestQueryWithoutPartsIsNotHedgedEarly@internal/gateway/attempt.go@s/need.Hedge && q.holdsHedges\(now\)/false/@hedges are sent before any shard has answered
 TestSecondHostHearsBeforeTheTrialIsOver@internal/gateway/trial.go@s/q.reportCrashes\(now\) \/\/ A repeat.*//@peers are notified only after the trial
 TestQueryThatLacksServersIsRefusedAtOnce@internal/gateway/serve.go@s/q.lacksServers\(time.Now\(\)\)/false/@queries wait for servers that no longer exist
-TestHostsWithoutTheStoreDoNotEachFindOut@internal/control/records.go@s/if c.storeLost\(\) \{\n\t\tc.peerRecords.put/if false {\n\t\tc.peerRecords.put/@peers are not notified while the store is unavailable
+TestHostsWithoutTheStoreDoNotEachFindOut@internal/control/records.go@s/if c.storeLost\(\) \{\n\t\tc.relayRecords.put/if false {\n\t\tc.relayRecords.put/@peers are not notified while the store is unavailable
 TestHostThatWasToldLeavesTheTrialToTheOther@internal/gateway/trial.go@s/q.awaitTrial\(guard.TrialDeadline\(f\)\)/q.trial.Suspect(time.Time{})/@a notified host starts its own trials
 TestStanding@quarantine/standing.go@s/MinTrialCrashes = 2/MinTrialCrashes = 1/@one end in a trial suffices for quarantine
 LIST
--- a/snapshot/choose_test.go
+++ b/snapshot/choose_test.go
@@ -21,10 +21,10 @@
 	assert.Equal(t, tracker.Choose(), snapshot.Choice{Version: 1, Shards: 2})
 }
 
-// A replica that reported only a newer version no longer serves the old one.
+// A replica that has reported its versions holds only these; one that has not may hold any.
 func TestHolds(t *testing.T) {
 	tracker := snapshot.NewTracker([]int{2})
-	assert.Assert(t, tracker.Holds(0, 0, 5), "unknown versions")
+	assert.Assert(t, tracker.Holds(0, 0, 5), "a replica with unknown versions may hold any")
 	tracker.Observe(0, 0, []uint64{2})
 	assert.Assert(t, !tracker.Holds(0, 0, 1))
 	assert.Assert(t, tracker.Holds(0, 1, 1))
