--- a/cmd/mallowgap/settings.go
+++ b/cmd/mallowgap/settings.go
@@ -53,7 +53,7 @@
 
 type printSettings struct{ settingsFile }
 
-// Execute prints the effective settings.
+// Execute prints the settings of a file, with the defaults of the keys that it omits.
 func (c *printSettings) Execute([]string) error {
 	message, err := c.load()
 	if err != nil {
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// writeReference writes the contents of docs/SETTINGS.md.
+// writeReference writes the reference of all settings as Markdown; docs/SETTINGS.md is its
+// output.
 func writeReference(w io.Writer) {
 	fmt.Fprint(w, "# Settings\n\nMade from `api/settingspb/settings.proto` by `mallowgap settings reference`.\n\n")
 	settings.Markdown(w, "Entry host", (&settingspb.Entry{}).ProtoReflect().Descriptor())
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -119,18 +119,18 @@
 	c.publishedVersion = c.members.Version()
 	conf := c.holder.Config()
 	v := &View{
-		Revision: c.holder.Revision(),
-		Self:     c.members.Self(),
-		Members:  c.members.Members(),
-		Synced:   c.synced,
-		Ready:    c.synced && c.holder.Revision() > 0 && !c.stopping,
-		Stopping: c.stopping,
-		services: c.currentPlacements(conf),
-		ranks:    deskRanks(conf),
-		leaving:  map[string]uint64{},
+		Revision:      c.holder.Revision(),
+		Self:          c.members.Self(),
+		Members:       c.members.Members(),
+		Synced:        c.synced,
+		Ready:         c.synced && c.holder.Revision() > 0 && !c.stopping,
+		Stopping:      c.stopping,
+		services:      c.currentPlacements(conf),
+		ranks:         deskRanks(conf),
+		leavingLeaves: map[string]uint64{},
 	}
 	for _, notice := range c.draining.All(time.Now()) {
-		v.leaving[notice.Address] = notice.Incarnation
+		v.leavingLeaves[notice.Address] = notice.Incarnation
 	}
 	previous := c.current.Swap(v)
 	if previous != nil && previous.Ready != v.Ready {
@@ -157,7 +157,7 @@
 		if p.Index < 0 && c.services[name] == nil {
 			continue
 		}
-		c.service(name).Configure(p.Spec, p.share(), v.Leaving)
+		c.service(name).Configure(p.Spec, p.slotShare(), v.LeavingLeaf)
 	}
 }
 
@@ -184,7 +184,7 @@
 		created := c.services[name] == nil
 		s = c.service(name)
 		if created {
-			s.Configure(p.Spec, p.share(), c.view().Leaving)
+			s.Configure(p.Spec, p.slotShare(), c.view().LeavingLeaf)
 		}
 	})
 	return s, s != nil
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -146,7 +146,7 @@
 		}
 		return 1
 	})
-	for address := range v.leaving {
+	for address := range v.leavingLeaves {
 		reply.LeavingLeaves = append(reply.LeavingLeaves, address)
 	}
 	slices.Sort(reply.LeavingLeaves)
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -15,17 +15,20 @@
 	Self     member.Fact
 	Members  []member.Fact
 	// Synced is set once this host knows the current configuration and the members.
-	// Before that it takes no role, since it may not know the hosts that have it.
+	// Until then the host takes no role, because it may not know the hosts that hold
+	// the role.
 	Synced bool
-	// Ready is set if a configuration is applied and new requests are accepted.
-	Ready    bool
+	// Ready is set if the host is synced, has a configuration and is not stopping; it
+	// then accepts new requests.
+	Ready bool
+	// Stopping is set once a graceful shutdown of this host has begun.
 	Stopping bool
 
 	// services holds the placements by service, ranks the class ranks by desk, and
-	// leaving the incarnations of leaving leaves by address.
-	services map[string]*Placement
-	ranks    map[string]uint32
-	leaving  map[string]uint64
+	// leavingLeaves the incarnations of the leaves that are leaving, by address.
+	services      map[string]*Placement
+	ranks         map[string]uint32
+	leavingLeaves map[string]uint64
 }
 
 // Placement is a service and its homes, the hosts that coordinate its queries.
@@ -58,22 +61,22 @@
 	return member.Fact{}, false
 }
 
-// Leaving returns the incarnation of a leaf that is leaving, and false if it is not.
-func (v *View) Leaving(address string) (uint64, bool) {
-	incarnation, ok := v.leaving[address]
+// LeavingLeaf returns the incarnation of a leaf that is leaving; the second result
+// is false if it is not.
+func (v *View) LeavingLeaf(address string) (uint64, bool) {
+	incarnation, ok := v.leavingLeaves[address]
 	return incarnation, ok
 }
 
-// share returns this host's share of the service's slots. A host that is not a home but
-// gets a request, because the sender sees other members, uses the first share; the
-// leaf's own limit then applies.
-func (p *Placement) share() home.SlotShare {
+// slotShare returns this host's share of the service's slots. A host that is not a home
+// may still get requests from a host with a different member list; it then uses the share
+// of the first home, and the leaf's own limit applies.
+func (p *Placement) slotShare() home.SlotShare {
 	return home.SlotShare{Homes: max(len(p.Homes), 1), Index: max(p.Index, 0)}
 }
 
-// candidates returns the members that homes and roles may be placed on. Suspect members
-// are excluded: a live one refutes the suspicion within a second, and moving its work
-// is better than waiting.
+// candidates returns the members that are alive, on which homes and roles may be placed.
+// Suspect members are excluded, so that their work moves at once.
 func candidates(members []member.Fact) []rendezvous.Member {
 	alive := make([]rendezvous.Member, 0, len(members))
 	for _, m := range members {
@@ -118,8 +121,8 @@
 	return ranks
 }
 
-// holdsRole reports whether host is one of the n members that a role is placed on. All
-// hosts must use the same rendezvous key for a role.
+// holdsRole reports whether host is one of the n members that a role is placed on. The
+// rendezvous key "duty/"+role must be the same on all hosts of a deployment.
 func holdsRole(role string, members []member.Fact, host string, n int) bool {
 	holders := rendezvous.Rank("duty/"+role, candidates(members), n)
 	return slices.ContainsFunc(holders, func(m rendezvous.Member) bool { return m.ID == host })
--- a/internal/httppool/socket.go
+++ b/internal/httppool/socket.go
@@ -6,7 +6,7 @@
 )
 
 // isOpenAndEmpty reports whether a connection is open and has no unread data. A
-// connection without a file descriptor is assumed to be.
+// connection without a file descriptor is assumed to be open and empty.
 func isOpenAndEmpty(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -16,12 +16,12 @@
 	if err != nil {
 		return false
 	}
-	open := false
+	usable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, peekErr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = peekErr == syscall.EAGAIN || peekErr == syscall.EWOULDBLOCK
-		return true
+		usable = peekErr == syscall.EAGAIN || peekErr == syscall.EWOULDBLOCK
+		return true // Done: don't wait until the socket is readable.
 	})
-	return err == nil && open
+	return err == nil && usable
 }
--- a/internal/invariant/configuration_test.go
+++ b/internal/invariant/configuration_test.go
@@ -34,7 +34,7 @@
 // operators, restarts, freezes and partitions.
 func TestInvariantConfiguration(t *testing.T) {
 	t.Parallel()
-	allowed := []stepKind{repartition, repartition, repartition, killHost, freezeHost, thawHost, cutHosts, reconnectHosts, outage, outageEnd, loseReplies, delayWrites, deliverWrites, staleReads, loseReplies}
+	allowed := []stepKind{repartition, repartition, repartition, killHost, freezeHost, thawHost, cutHosts, reconnectHosts, startOutage, endOutage, loseReplies, delayWrites, deliverWrites, staleReads, loseReplies}
 	rapid.Check(t, func(rt *rapid.T) {
 		run := drawSteps(rt, allowed...)
 		failOnViolations(rt, withCluster(t, func(_ *testing.T, cl *cluster) {
--- a/internal/invariant/nemesis_test.go
+++ b/internal/invariant/nemesis_test.go
@@ -37,17 +37,17 @@
 const (
 	askSearch stepKind = iota
 	askTag
-	leafFault
-	leafRecovery
-	versions
+	setLeafFault
+	clearLeafFault
+	setLeafVersions
 	repartition
 	killHost
 	freezeHost
 	thawHost
 	cutHosts
 	reconnectHosts
-	outage
-	outageEnd
+	startOutage
+	endOutage
 	loseReplies
 	delayWrites
 	deliverWrites
@@ -98,11 +98,11 @@
 		cl.askSearch(n, s)
 	case askTag:
 		cl.askTag(n, s)
-	case leafFault:
+	case setLeafFault:
 		cl.fleet.SetFaults(anyLeaf(s.A), faultOf(s.B))
-	case leafRecovery:
+	case clearLeafFault:
 		cl.fleet.SetFaults(anyLeaf(s.A), leaffake.Faults{})
-	case versions:
+	case setLeafVersions:
 		cl.fleet.SetVersions(leafAddress(s.A%(numShards*numReplicas)), [][]uint64{{1}, {1, 2}, {2}, {2, 3}, {3}}[s.B%5])
 	case repartition:
 		cl.repartition(n, s)
@@ -117,8 +117,8 @@
 		cl.thaw(i)
 	case cutHosts, reconnectHosts:
 		cl.network.Cut(peerAddress(i), peerAddress(s.B%numHosts), s.Kind == cutHosts)
-	case outage, outageEnd:
-		cl.platform.SetOutage(s.Kind == outage)
+	case startOutage, endOutage:
+		cl.platform.SetOutage(s.Kind == startOutage)
 	case loseReplies:
 		cl.platform.LoseReplies(config.HeadKey, 1+s.A%3)
 	case staleReads:
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -3,24 +3,25 @@
 // reservedShare is the share of the bucket reserved for the highest class.
 const reservedShare = 0.5
 
-// Budget is a token bucket shared by the retries and hedges of one service. One token is
-// one extra attempt. It is not safe for concurrent use.
+// Budget is a token bucket that bounds the extra attempts of one service. The first attempt
+// of a request, or of each part of a query, adds tokens; an extra attempt, which is a retry
+// or a hedge, takes one. It is not safe for concurrent use.
 type Budget struct {
-	// refill is the number of tokens added per first attempt.
-	refill float64
+	// ratio is the number of tokens added per first attempt.
+	ratio  float64
 	size   float64
 	tokens float64
 }
 
-// NewBudget returns a full bucket of size tokens. share is the number of tokens added for
-// each first attempt.
-func NewBudget(share, size float64) *Budget {
-	return &Budget{refill: share, size: size, tokens: size}
+// NewBudget returns a full bucket of size tokens. ratio is the number of tokens added per
+// first attempt.
+func NewBudget(ratio, size float64) *Budget {
+	return &Budget{ratio: ratio, size: size, tokens: size}
 }
 
 // AddFirstAttempts refills the bucket for n first attempts that were sent.
 func (b *Budget) AddFirstAttempts(n int) {
-	b.tokens = min(b.size, b.tokens+b.refill*float64(n))
+	b.tokens = min(b.size, b.tokens+b.ratio*float64(n))
 }
 
 // Take takes a token for one extra attempt of a request of the given class rank, where 0
@@ -37,5 +38,6 @@
 	return true
 }
 
-// Tokens returns the number of extra attempts that the highest class may make now.
+// Tokens returns the tokens in the bucket. The highest class may use all whole ones; lower
+// classes must leave reservedShare of the size.
 func (b *Budget) Tokens() float64 { return b.tokens }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -11,7 +11,7 @@
 	"github.com/mallowgap/mallowgap/retry"
 )
 
-// Extra attempts never exceed share times the first attempts plus the bucket size, for any
+// Extra attempts never exceed ratio times the first attempts plus the bucket size, for any
 // sequence of attempts.
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
