--- a/admission/gate.go
+++ b/admission/gate.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// targetShare is the queueing delay at the servers that the controller aims for,
-	// as a share of the objective of the highest rank: long enough to keep every slot
-	// busy, short enough that admitted requests still meet the objective when shards
+	// targetShare is the wait at the servers that the controller aims for, as a share of
+	// the objective of the highest active rank: long enough to keep every slot busy, short
+	// enough that admitted requests still meet the objective when the waits of shards
 	// differ.
 	targetShare = 0.12
-	// integralGain is the increase of the refused share per second and per target by
-	// which the wait exceeds the target; proportionalGain is the increase per target by
-	// which the wait has grown. Higher gains oscillate, because the wait is observed
+	// integralGain and proportionalGain are the gains of the controller, whose input is
+	// the wait as a multiple of its target. integralGain is the increase of the refused
+	// share per second for each multiple by which the wait exceeds the target;
+	// proportionalGain is the increase for each multiple by which the wait has grown since
+	// the previous request. Higher gains cause oscillation, because the wait is observed
 	// about 100 ms late.
 	integralGain     = 0.5
 	proportionalGain = 0.1
@@ -26,21 +28,22 @@
 	fullGainInterval = 100 * time.Millisecond
 	// maxStep bounds the elapsed time that one update of the refused share accounts for.
 	maxStep = 250 * time.Millisecond
-	// minTarget bounds the target wait and the retry delay from below where the objective
-	// is zero or tiny.
+	// minTarget is the minimum of the target wait and of the retry delay, for objectives
+	// that are zero or very short.
 	minTarget = time.Millisecond
 	// leakRate is the fraction of the refused share that is released each second. Hosts
 	// that refuse more release more, so their shares converge; in return the wait
 	// settles slightly above its target.
 	leakRate = 0.25
-	// lowWait is the wait, in targets, below which the servers have spare capacity; the
-	// refused share then decays with time constant lowWaitDecay.
+	// lowWait is the wait, as a multiple of its target, below which the servers have spare
+	// capacity; the refused share then decays with time constant lowWaitDecay.
 	lowWait      = 0.25
 	lowWaitDecay = 200 * time.Millisecond
 	// floorShare is the share of the admitted work reserved for each lower rank, which
 	// prevents starvation.
 	floorShare = 0.03
-	// rankExpiry is the time after its last request at which a rank is forgotten.
+	// rankExpiry is the time after its last request at which a rank is forgotten. It also
+	// bounds the samples of the interval between requests.
 	rankExpiry = 5 * time.Second
 	// workDecay is the time constant with which offered work loses weight.
 	workDecay = time.Second
@@ -51,20 +54,21 @@
 	overloadThreshold = 0.05
 	// overloadEnd is the time without a refusal after which an overload is over.
 	overloadEnd = time.Second
-	// minRetryShare is the shortest retry delay, as a share of the objective: a caller
-	// refused in a short overload may still be served in time.
+	// minRetryShare is the shortest retry delay, as a share of the objective. It is less
+	// than 1 so that a caller refused in a short overload may still be served in time.
 	minRetryShare = 0.5
 	// maxRetryDelay bounds the retry delay of the highest rank, before jitter.
 	maxRetryDelay = 2500 * time.Millisecond
-	// rankRetryStep is the extra retry delay of each lower rank, as a share of the delay
-	// of the highest, counted for at most maxRankSteps ranks.
+	// rankRetryStep is the extra retry delay for each active rank that is admitted before
+	// that of the request, as a share of the delay of the highest. At most maxRankSteps
+	// ranks count.
 	rankRetryStep = 0.5
 	maxRankSteps  = 3
 )
 
 // Gate decides on arrival whether a request is admitted to servers shared by many
-// hosts. Each host has its own gate and the gates do not communicate: what they share
-// is the wait at the servers, which every host observes. A gate refuses a share of the
+// hosts. Each host has its own gate and the gates do not communicate, but all hosts observe
+// the same wait at the servers. A gate refuses a share of the
 // offered work that grows while the wait is above its target and shrinks while it is
 // below (a PI controller, as in the PIE queue management algorithm), so that all hosts
 // converge to about the same share, however unevenly requests are spread. Callers that
@@ -76,8 +80,8 @@
 	ranks []*rankState
 	// refusedShare is the share (0 to 1) of the offered work that is refused.
 	refusedShare float64
-	// lastWait is the wait at the previous request, in targets, lastAt the time of that
-	// request, and meanInterval the smoothed time between requests.
+	// lastWait is the wait at the previous request, as a multiple of its target, lastAt the
+	// time of that request, and meanInterval the smoothed time between requests.
 	lastWait     float64
 	lastAt       time.Time
 	meanInterval time.Duration
@@ -86,10 +90,11 @@
 	overloadStart, lastRefusal time.Time
 }
 
-// rankState holds the recent load of one rank, separately for late requests.
+// rankState holds the recent load of the requests of one rank that are late, or of those
+// that are not. Both have their own place among the ranks of a gate.
 type rankState struct {
 	rank uint32
-	// late is set for requests that can no longer be answered within the objective.
+	// late is set if the state is that of requests whose objective has already passed.
 	late      bool
 	objective time.Duration
 	lastAt    time.Time
@@ -106,7 +111,8 @@
 	Rank uint32
 	// Objective is the time within which an answer has its full value.
 	Objective time.Duration
-	// Late reports that the objective has passed since the caller's first attempt.
+	// Late is set if more time than the objective has passed since the caller's first
+	// attempt.
 	Late bool
 	// Wait is the estimated time that the request would wait at the servers.
 	Wait time.Duration
@@ -121,7 +127,8 @@
 	RetryAfter time.Duration
 }
 
-// NewGate returns a gate that refuses nothing yet. rng draws admissions and jitter.
+// NewGate returns a gate that refuses nothing yet. rng is used to decide admissions and for
+// jitter.
 func NewGate(rng *rand.Rand) *Gate { return &Gate{rng: rng} }
 
 // ObserveCost records the server time that a request of the given rank used.
@@ -166,7 +173,8 @@
 	return i
 }
 
-// compare orders a rank relative to that of a request; late ones come last.
+// compare orders a rank relative to that of a request, highest first. Late ones come after all
+// others.
 func (r *rankState) compare(request Request) int {
 	if r.late != request.Late {
 		if r.late {
@@ -230,8 +238,8 @@
 	return total
 }
 
-// floor returns the lowest admission probability of the index-th rank; the highest rank
-// and late requests have none.
+// floor returns the minimum admission probability of the index-th rank, which is 0 for the
+// highest rank and for late requests.
 func (g *Gate) floor(index int) float64 {
 	r := g.ranks[index]
 	if index == 0 || r.late || r.work == 0 {
@@ -240,8 +248,8 @@
 	return min(1, floorShare*(1-g.refusedShare)*g.offeredWork()/r.work)
 }
 
-// Overloaded reports whether so much is refused that hedged copies of requests would
-// only displace other requests.
+// Overloaded reports whether the gate refuses so much that a hedge would only displace
+// another request.
 func (g *Gate) Overloaded() bool { return g.refusedShare > overloadThreshold }
 
 // retryAfter returns the delay after which a refused caller should try again. An
--- a/internal/control/callers.go
+++ b/internal/control/callers.go
@@ -10,12 +10,15 @@
 	"github.com/mallowgap/mallowgap/rendezvous"
 )
 
-// subsetter selects the subset of hosts that call a server that accepts fewer connections
-// than there are hosts. The subset of a server stays the same while its members exist, and
-// takes the same number of hosts from each failure domain. A new subsetter is created
-// whenever hosts change. It computes subsets on first use, because recomputing them for every
-// server on every change would be expensive. It is safe for concurrent use.
+// subsetter selects the subset of hosts that call a server, where not all hosts may call it: the
+// server accepts fewer connections than there are hosts, or is cold. Subsets are selected by
+// rendezvous hashing, so that a new or lost host changes few of them. The numbers of hosts that a
+// subset takes from each failure domain differ by at most one, if the domains have enough hosts. A
+// new subsetter is created whenever hosts change. It computes subsets on first use, because
+// recomputing them for every server on every change would be expensive. It is safe for concurrent
+// use.
 type subsetter struct {
+	// hosts and members hold the hosts by failure domain; domains lists the domains in order.
 	hosts   map[string][]Host
 	members map[string][]rendezvous.Member
 	domains []string
@@ -24,7 +27,7 @@
 	subsets map[subsetKey][]Host
 }
 
-// subsetKey identifies the part of a server's subset of size n that lies in one domain.
+// subsetKey identifies those hosts of a server's subset of n hosts that are in one domain.
 type subsetKey struct {
 	server, domain string
 	n              int
@@ -62,7 +65,7 @@
 	return perDomain
 }
 
-// inDomain returns the part of a server's subset of n hosts that lies in one domain.
+// inDomain returns those hosts of a server's subset of n hosts that are in one domain.
 func (s *subsetter) inDomain(server, domain string, n int) []Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +95,7 @@
 	return hosts
 }
 
-// distance returns 0 for equal domains and 1 for different ones.
+// distance returns the sort key of a domain as seen from another: 0 if they are equal, else 1.
 func distance(a, b string) int {
 	if a == b {
 		return 0
@@ -100,25 +103,28 @@
 	return 1
 }
 
-// Share describes how this host uses a server that it shares with other hosts.
+// Share describes which hosts call a server, and how many of its connections and requests each of
+// them may use.
 type Share struct {
 	// Conns is the number of connections this host may open.
 	Conns int
 	// CallerCount is the number of hosts that call the server.
 	CallerCount int
-	// ColdBound limits the requests that all hosts together send while the server is cold.
+	// ColdBound limits the requests that all hosts together send while the server is cold, that
+	// is for a while after its start.
 	ColdBound limit.ColdBound
-	// allHosts selects among all hosts.
+	// allHosts selects the callers of a cold server that is not a shard.
 	allHosts *subsetter
-	// relays are the hosts that call a shard; nil for other servers.
+	// relays are the hosts that call the server if it is a shard; nil for other servers.
 	relays []Host
-	// subset selects the hosts that call a server that is not a shard; nil if all hosts do.
+	// subset selects the hosts that call the server if it is not a shard and accepts too few
+	// connections for all hosts; nil otherwise.
 	subset *subsetter
 	server discovery.Server
 }
 
-// Callers returns the hosts that call the server directly, nearest first; all others forward
-// their calls to one of these. It returns nil if every host calls the server.
+// Callers returns the hosts that call the server directly, those in its own failure domain first;
+// all other hosts forward their calls to one of these. It returns nil if every host calls the server.
 func (s Share) Callers() []Host {
 	if s.subset != nil {
 		return s.subset.all(s.server, s.CallerCount)
@@ -130,7 +136,7 @@
 func (s Share) ColdCallers() int { return s.ColdBound.Callers(s.CallerCount) }
 
 // CallsWhileCold reports whether a host is one of those that call the server directly while it is
-// cold. Only hosts with an entry in the store are.
+// cold. It is false for a host without an entry in the store.
 func (s Share) CallsWhileCold(name, domain string) bool {
 	n := s.ColdCallers()
 	if s.relays != nil {
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -14,21 +14,23 @@
 	// heartbeatInterval is the interval at which a leader sends a message to its followers
 	// when there are no changes.
 	heartbeatInterval = 400 * time.Millisecond
-	// leaderTimeout is how long a leader may be silent. Together with one store call, it
-	// keeps the time until a change is in effect everywhere within three seconds.
+	// leaderTimeout is the time without a message after which a leader has failed. Together
+	// with one store call, it must allow a configuration change to take effect everywhere
+	// within three seconds.
 	leaderTimeout = 3 * heartbeatInterval
-	// maxStaleness is the maximum time since a leader last heard from the store: the longest
-	// watch, and the time to notice that a watch hangs.
+	// maxStaleness is the maximum time since a leader last heard from the store. It allows for
+	// the longest watch and the time to notice that a watch hangs.
 	maxStaleness = 1500 * time.Millisecond
-	// probeInterval is the mean interval at which a follower probes the store while its
-	// leader reports it lost.
+	// probeInterval is the mean interval at which each of the first followers probes the store
+	// while the leader reports it lost.
 	probeInterval = 2 * time.Second
-	// storeProbers is the number of hosts per region, besides the leader, that probe the
-	// store at that interval while it is lost.
+	// storeProbers is the number of hosts per region, besides the first, that probe the store at
+	// probeInterval while it is lost. All others probe it less often.
 	storeProbers = 3
-	// leaderCooldown is the minimum time for which a host that lost a reachable store is not
-	// chosen as leader; up to half as much is added at random. Retrying costs store calls,
-	// and the store may reject the host for many seconds.
+	// leaderCooldown is the minimum time for which a host is not chosen as leader after it lost
+	// a store that other hosts reach or became stale; up to half as much is added at random.
+	// Following it again too early costs store calls, and the store may reject the host for
+	// many seconds.
 	leaderCooldown = 4 * time.Second
 	// probeWatchWait is the wait of a watch that only checks whether the store responds.
 	probeWatchWait = time.Millisecond
@@ -42,10 +44,10 @@
 	errLeaving           = errors.New("this host is shutting down: notifying the leader")
 )
 
-// leader returns the host of this region to follow. It returns false if this host is to read
-// the store itself, because it ranks first, by strength and name, among the hosts that
-// respond. A host only follows hosts that rank before it, even while its own entry is
-// missing, so that no two hosts follow each other.
+// leader returns the host of this region to follow. It returns false if this host must read
+// the store itself, because it has not received a complete state yet or ranks first, by strength
+// and name, among the hosts that may lead. A host only follows hosts that rank before it, even
+// while its own entry is missing, so that no two hosts follow each other.
 func (c *Control) leader() (Host, bool) {
 	if !c.loaded {
 		return Host{}, false
@@ -78,9 +80,9 @@
 }
 
 // handleLeaderFailure handles the end of following a leader, and reports whether to look for a
-// leader again before calling the store. After a failure this is worth one try, because all hosts
-// of a region lose the same leader at once and one of them calling the store is enough. A second
-// try would delay configuration changes too long.
+// leader again before calling the store. After a first failure this is useful, because all hosts of
+// a region lose their leader at the same time and it is enough that one of them calls the store.
+// After further failures in a row it would delay configuration changes too long.
 func (c *Control) handleLeaderFailure(leader Host, err error) bool {
 	if errors.Is(err, errLeaving) || errors.Is(err, errResumed) {
 		return true
@@ -95,8 +97,8 @@
 	return c.loaded && c.leaderFailures == 1
 }
 
-// startCooldown excludes a host that lost the store or is stale from being chosen as leader
-// for a while.
+// startCooldown keeps a host that lost the store or is stale from being chosen as leader for
+// about leaderCooldown.
 func (c *Control) startCooldown(address string, now time.Time) {
 	for other, until := range c.cooldownUntil {
 		if !now.Before(until) {
@@ -106,7 +108,7 @@
 	c.cooldownUntil[address] = now.Add(leaderCooldown + rand.N(leaderCooldown/2))
 }
 
-// inRegion returns the hosts of a region, strongest first.
+// inRegion returns the hosts of a region in the order in which they rank, strongest first.
 func (v *View) inRegion(region string) []Host {
 	var hosts []Host
 	for _, group := range v.Hosts {
@@ -156,8 +158,8 @@
 		select {
 		case reply := <-received:
 			if first && reply.GetStoreLost() && c.View().StoreLost.IsZero() {
-				// This host still reaches the store by another way. Marking it as lost here
-				// would delay the expiry of entries and cost a store call.
+				// For this host the store is not lost. Marking it as lost because the leader
+				// cannot reach it would delay the expiry of entries and cost a store call.
 				return errLeaderPartitioned
 			}
 			if err := c.applyReply(ctx, reply, &nextProbe); err != nil {
@@ -181,7 +183,8 @@
 	}
 }
 
-// applyReply applies one message of the leader.
+// applyReply applies one message of the leader. It returns an error if the message is invalid,
+// the leader is stale, or the leader has lost a store that this host reaches.
 func (c *Control) applyReply(ctx context.Context, reply *relaypb.FollowReply, nextProbe *time.Time) error {
 	now := time.Now()
 	c.leaderFailures = 0
@@ -212,9 +215,9 @@
 }
 
 // nextProbeDelay returns the delay until this host's next probe of a store that its leader
-// has lost, and whether it probes immediately. The delays keep the total rate of probes in a
-// region near that of storeProbers hosts, whatever the number of hosts. Other hosts learn the
-// result from them.
+// has lost, and whether the first probe is immediate. The first hosts of the region probe at once
+// and then at probeInterval. The delays of the others grow with the number of hosts, so that
+// together they probe about as often as storeProbers hosts, whatever their number.
 func (c *Control) nextProbeDelay() (delay time.Duration, immediate bool) {
 	delay = probeInterval/2 + rand.N(probeInterval)
 	hosts := c.View().inRegion(c.self.GetRegion())
@@ -225,8 +228,9 @@
 	return delay * time.Duration(max(1, len(hosts)/storeProbers)), false
 }
 
-// probeStore checks from time to time whether the store is lost only for the leader, and
-// returns errLeaderPartitioned if it is.
+// probeStore probes the store if a probe is due. It returns errLeaderPartitioned if this host
+// reaches the store, which means that only the leader has lost it, and nil otherwise. next is the
+// time of the next probe, and zero before the first one.
 func (c *Control) probeStore(ctx context.Context, now time.Time, next *time.Time) error {
 	delay, immediate := c.nextProbeDelay()
 	if next.IsZero() && !immediate {
@@ -247,7 +251,8 @@
 	return errLeaderPartitioned
 }
 
-// Follow implements the relay protocol. It streams updates to a follower.
+// Follow implements the relay protocol. It streams updates to a follower, at least one in every
+// heartbeatInterval.
 func (c *Control) Follow(request *relaypb.FollowRequest, stream relaypb.DRPCRelay_FollowStream) error {
 	ctx := stream.Context()
 	known := request.GetRevision()
--- a/internal/entry/sync.go
+++ b/internal/entry/sync.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// bootstrapPeers is the number of peers that a starting host contacts.
+	// bootstrapPeers is the number of replies after which a starting host sends no more join
+	// requests, and the maximum number of peers from which it pulls the configuration.
 	bootstrapPeers = 5
 	// watchTimeout bounds one watch call.
 	watchTimeout = 30 * time.Second
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// laterReplyFactor is how many times more often a relay replies after the soft timeout than
-	// before it.
+	// laterReplyFactor is the number by which the soft timeout is divided to obtain the interval
+	// between the replies that follow it.
 	laterReplyFactor = 4
 	// minReplyInterval is the minimum interval between replies, so that parts that arrive close
 	// together are merged.
 	minReplyInterval = 4 * time.Millisecond
-	// refusalReplyDelay is how long failed calls are collected before they are reported. It is
-	// short because the requesting host can try another server at once.
-	refusalReplyDelay = time.Millisecond
+	// failureReplyDelay is how long calls without a part are collected before they are reported.
+	// It is short because the requesting host can try another server at once.
+	failureReplyDelay = time.Millisecond
 	// maxSlotRetries is how often a relay tries again to obtain a slot, at intervals of
-	// slotRetryDelay, before it reports the server as busy. The total is less than a round trip to
-	// another region, after which the requesting host would retry.
+	// slotRetryDelay, before it reports the server as busy. All retries together take less time
+	// than a retry by a requesting host in another region, which costs a round trip.
 	maxSlotRetries = 4
 )
 
 var errSuspended = errors.New("the call timed out while this machine was suspended")
 
-// Gather implements the relay protocol. It calls the named servers and merges their parts; it
-// neither chooses servers nor repeats calls.
+// Gather implements the relay protocol. It calls the servers that the request names and merges
+// their parts. It does not choose servers and does not repeat calls.
 func (g *Gateway) Gather(m *relaypb.GatherRequest, stream relaypb.DRPCRelay_GatherStream) error {
 	return g.recoverPanic("gather request of a peer", m.GetRequestId(), func() error { return g.gather(m, stream) })
 }
@@ -74,7 +74,7 @@
 	softTimeout := time.Duration(m.GetSoftTimeoutUs()) * time.Microsecond
 	softTimer := time.NewTimer(softTimeout)
 	defer softTimer.Stop()
-	var refusals <-chan time.Time
+	var failureReplyDue <-chan time.Time
 	suspendedFor, resumed := g.suspensions.current()
 	for gathered.pending > 0 {
 		select {
@@ -83,14 +83,14 @@
 			if suspicion.noteResult(r.result, time.Now()) {
 				stopCalls()
 			}
-			if len(gathered.refused) == 1 {
-				refusals = time.After(refusalReplyDelay)
+			if len(gathered.failed) == 1 {
+				failureReplyDue = time.After(failureReplyDelay)
 			}
-		case <-refusals:
-			if len(gathered.refused) == 0 {
+		case <-failureReplyDue:
+			if len(gathered.failed) == 0 {
 				continue
 			}
-			if err := stream.Send(g.withReport(gathered.flushRefused())); err != nil {
+			if err := stream.Send(g.withReport(gathered.flushFailed())); err != nil {
 				return err
 			}
 		case <-softTimer.C:
@@ -114,7 +114,7 @@
 	return stream.Send(g.withReport(gathered.flush(true)))
 }
 
-// withReport adds the state of the servers near this host to a reply.
+// withReport adds a report of the slow servers in this host's failure domain to a reply.
 func (g *Gateway) withReport(reply *relaypb.GatherReply) *relaypb.GatherReply {
 	now := time.Now()
 	reply.Slow = g.slowReports.current(g.control.View().Table, now)
@@ -127,8 +127,9 @@
 	return g.guard.Active() && g.guard.Standing(fingerprint(r)) == quarantine.Barred
 }
 
-// relaySuspicion tracks servers that crashed while running a relayed request. The relay does not
-// see servers that ran the request elsewhere, so it only stops its own calls.
+// relaySuspicion tracks servers that crashed while running a relayed request. A relay does not know
+// of calls that other hosts make for the same request, so it only stops its own calls and leaves
+// trials and reports to the requesting host.
 type relaySuspicion struct{ quarantine.Suspicion }
 
 // noteResult records a result and reports whether the calls in flight must be stopped.
@@ -148,22 +149,23 @@
 	result result
 }
 
-// gathering merges results between replies.
+// gathering collects the results that the next reply will contain.
 type gathering struct {
 	trimmer *fanout.Trimmer
 	pending int
-	// packs reports whether the receiver understands packed lists.
+	// packs reports whether the requesting host understands packed lists.
 	packs bool
-	// whole reports whether replies are returned whole instead of merged.
+	// whole reports whether the servers' replies are returned complete instead of merged.
 	whole bool
-	// replied reports whether a soft timeout has passed before.
-	replied bool
-	results []*relaypb.CallResult
-	// refused holds the results of calls that brought no part.
-	refused []*relaypb.CallResult
-	parts   [][]byte
+	// softTimedOut reports whether a soft timeout has passed before.
+	softTimedOut bool
+	results      []*relaypb.CallResult
+	// failed holds the results of calls that returned no part.
+	failed []*relaypb.CallResult
+	parts  [][]byte
 }
 
+// add adds the result of a call and returns it as sent to the requesting host.
 func (g *gathering) add(indexed indexedResult) *relaypb.CallResult {
 	g.pending--
 	r := indexed.result
@@ -176,7 +178,7 @@
 		result.Reply = encodeReply(r.reply)
 	}
 	if r.outcome != relaypb.Outcome_PART {
-		g.refused = append(g.refused, result)
+		g.failed = append(g.failed, result)
 		return result
 	}
 	g.results = append(g.results, result)
@@ -186,39 +188,40 @@
 	return result
 }
 
-// flushRefused returns the results without a part since the last flush.
-func (g *gathering) flushRefused() *relaypb.GatherReply {
-	reply := &relaypb.GatherReply{Results: g.refused}
-	g.refused = nil
+// flushFailed returns the results without a part since the last flush.
+func (g *gathering) flushFailed() *relaypb.GatherReply {
+	reply := &relaypb.GatherReply{Results: g.failed}
+	g.failed = nil
 	return reply
 }
 
-// replyDue reports whether to reply at a soft timeout: if parts have arrived, and once while whole
-// replies are pending, so that the requesting host knows that this host is alive.
+// replyDue reports whether to reply at a soft timeout: if parts have arrived, and at the first one
+// also if complete replies are requested, so that the requesting host knows that this host is
+// alive.
 func (g *gathering) replyDue() bool {
 	if g.pending == 0 {
 		return false
 	}
-	first := g.whole && !g.replied
-	g.replied = true
+	first := g.whole && !g.softTimedOut
+	g.softTimedOut = true
 	return len(g.results) > 0 || first
 }
 
 // flush returns everything gathered since the last flush.
 func (g *gathering) flush(last bool) *relaypb.GatherReply {
 	records, floor := g.trimmer.Batch(g.parts...)
-	reply := &relaypb.GatherReply{Results: append(g.results, g.refused...), Records: records, Floor: floor, Last: last}
+	reply := &relaypb.GatherReply{Results: append(g.results, g.failed...), Records: records, Floor: floor, Last: last}
 	if g.packs {
 		packReply(reply)
 	}
 	g.results = nil
-	g.refused = nil
+	g.failed = nil
 	g.parts = nil
 	return reply
 }
 
-// timeBudgetFromRequest returns when a peer needs the parts. Peers of the previous version do not
-// say; for them no call is too late.
+// timeBudgetFromRequest returns the time within which a peer needs the parts. Peers of the previous
+// version do not send it; for them no call is considered too late.
 func timeBudgetFromRequest(m *relaypb.GatherRequest) replica.TimeBudget {
 	if m.GetDueUs() == 0 {
 		return replica.TimeBudget{Objective: time.Hour, Remaining: time.Hour}
@@ -254,9 +257,9 @@
 	return g.callServer(ctx, c, r, timeout, freshConn)
 }
 
-// takeSlotWithRetry takes a slot on a server, retrying a few times if none is free. It polls
-// instead of queueing, because a request that is committed to one server early completes later than
-// one sent to the first server that becomes free.
+// takeSlotWithRetry takes a slot on a server, retrying a few times if none is free. It gives up
+// instead of queueing, so that the requesting host can send the request to another server that
+// becomes free earlier.
 func (g *group) takeSlotWithRetry(ctx context.Context, b *backend, timeBudget replica.TimeBudget) (*call, error) {
 	c, err := g.takeSlot(b, timeBudget, time.Now())
 	for retries := 0; errors.Is(err, errNoSlot) && retries < maxSlotRetries; retries++ {
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// trialPollInterval is the interval at which attempts that wait for a trial are considered
-	// again.
+	// trialPollInterval is how often a query on trial checks whether an attempt that it holds back
+	// may be sent.
 	trialPollInterval = 20 * time.Millisecond
-	// maxFailedTrials is the number of failed trials after which a query ends although no server is
-	// known to have crashed. A single lost reply is not sufficient.
+	// maxFailedTrials is the number of failed trials after which a query ends even if no server is
+	// known to have crashed. It is more than 1 because a single connection may be lost for other
+	// reasons.
 	maxFailedTrials = 3
-	// barredRetryAfter is when a caller whose request is barred may retry: before the first
-	// probation ends, only an operator can clear the request.
+	// barredRetryAfter is the delay after which a caller whose request is barred may retry. Until
+	// the first probation ends, only an operator can clear the request.
 	barredRetryAfter = quarantine.FirstProbation
 )
 
@@ -37,15 +38,15 @@
 	probation bool
 	// barred reports that the request is barred, so that the query must end.
 	barred bool
-	// shard is the shard on trial, or -1. servers lists the servers that the query was sent to on
-	// trial.
+	// shard is the shard of the latest trial, or -1 before the first one. servers lists the servers
+	// to which the query was sent on trial.
 	shard   int
 	servers []string
-	// brokenCalls lists lost connections whose servers are not known to have crashed; failedTrials
-	// counts those on trial.
+	// brokenCalls lists the calls whose connection was lost although the server is not known to
+	// have crashed; failedTrials counts those of them that were trials.
 	brokenCalls  []quarantine.Crash
 	failedTrials int
-	// heldShards lists the shards whose attempts wait until a server has served the query.
+	// heldShards lists the shards to which no attempt is sent until a server has served the query.
 	heldShards []int
 }
 
@@ -57,8 +58,8 @@
 	return q.trial.fingerprint
 }
 
-// checkQuarantine looks up the standing of the request. It returns false and the answer if the
-// request is barred and no trial of it is due.
+// checkQuarantine looks up the standing of the request. If the request is barred and this query
+// may not try it, it returns the answer and false.
 func (q *query) checkQuarantine(ctx context.Context) (Answer, bool) {
 	q.trial.shard = -1
 	guard := q.gateway.guard
@@ -84,25 +85,26 @@
 	return q.barredAnswer(), false
 }
 
-// awaitTrial makes a query of a suspect request wait for the trial of another query, until by at
-// the latest and for no more than a part of its own time, because suspicions of a popular request
-// may follow one another. The dispatch deadline is extended accordingly. A request that is not a
-// query does not wait, as it goes to one server at a time in any case.
-func (q *query) awaitTrial(by time.Time) {
+// awaitTrial makes a query of a suspect request wait for the trial of another query, until
+// trialDeadline at the latest. It waits for no more than a part of its own time, because reports
+// about a popular request may extend trialDeadline again and again. The dispatch deadline is
+// extended accordingly. A request that is not a query does not wait, because it is sent to one
+// server at a time in any case.
+func (q *query) awaitTrial(trialDeadline time.Time) {
 	if q.entry.Query == nil {
 		q.trial.Suspect(time.Time{})
 		return
 	}
-	by = quarantine.TrialWaitDeadline(by, q.request.Arrived, q.end)
-	q.trial.Suspect(by)
-	if by.After(q.dispatchBy) {
+	trialDeadline = quarantine.TrialWaitDeadline(trialDeadline, q.request.Arrived, q.end)
+	q.trial.Suspect(trialDeadline)
+	if trialDeadline.After(q.dispatchBy) {
 		q.cause, q.failure = CauseSuspect, "servers ended under this request, and its trial by another query is not decided yet"
-		q.dispatchBy = by.Add(q.maxHedgeDelay())
+		q.dispatchBy = trialDeadline.Add(q.maxHedgeDelay())
 	}
 }
 
-// clearedElsewhere reports whether the query is no longer on trial, because a server served the
-// same request while this query waited.
+// clearedElsewhere reports whether the query is not or no longer on trial. If a server served the
+// same request while this query waited, it ends the wait.
 func (q *query) clearedElsewhere() bool {
 	if q.trial.shard < 0 && !q.trial.probation && !q.dispatched() && q.gateway.guard.Standing(q.fingerprint()) == quarantine.Clear {
 		q.trial.Clear()
@@ -122,10 +124,10 @@
 	return notRun(CauseBarred, reason, barredRetryAfter)
 }
 
-// launchTrial sends the query to one server alone, unless a trial is running. A late trial is
-// hedged like any other attempt. No trial starts beside other calls of the query: the crash of a
-// server would then prove nothing, and might cost other callers the last server of a shard. If the
-// query is harmless those calls bring a part, and the held attempts follow at once.
+// launchTrial sends the query to one server alone, if no call of it is in flight. A late trial is
+// hedged like any other attempt. While other calls are in flight, the crash of a server would not
+// prove anything, and might leave other callers no server of a shard. If the query is harmless, one
+// of those calls returns a part, and the attempts held back are sent at once.
 func (q *query) launchTrial(ctx context.Context, now time.Time) {
 	t := &q.trial
 	t.heldShards = t.heldShards[:0]
@@ -149,7 +151,8 @@
 	}
 }
 
-// noteServed records that a server served the query and resumes the shards that were held.
+// noteServed records that a server served the query, and releases the held shards unless an absence
+// check still holds them.
 func (q *query) noteServed(now time.Time) {
 	if q.trial.Served() {
 		q.gateway.guard.Clear(q.fingerprint(), now)
@@ -159,7 +162,7 @@
 	}
 }
 
-// resumeHeldShards makes the held shards eligible at once.
+// resumeHeldShards allows attempts to the held shards at once.
 func (q *query) resumeHeldShards(now time.Time) {
 	for _, n := range q.trial.heldShards {
 		q.state.Postpone(n, now)
@@ -175,7 +178,7 @@
 	stop, trialEnded := q.trial.Crashed(crash, now)
 	if stop {
 		q.stopCalls()
-		q.reportCrashes(now) // A repeat at another host may arrive before the trial ends.
+		q.reportCrashes(now) // A repeat of the request may reach another host before the trial ends.
 	}
 	if trialEnded {
 		q.trial.DelayTrial(rand.N(quarantine.MaxTrialJitter))
@@ -183,8 +186,8 @@
 	}
 }
 
-// crashRecord returns the quarantine entry for a server that crashed or lost its connection while
-// running the query.
+// crashRecord describes, for the quarantine, a server that crashed or whose connection was lost
+// while it ran the query.
 func (q *query) crashRecord(r result) quarantine.Crash {
 	crash := quarantine.Crash{Server: r.server, OnTrial: slices.Contains(q.trial.servers, r.server)}
 	if b := q.gateway.fleet.server(r.server); b != nil {
@@ -204,8 +207,8 @@
 	}
 }
 
-// trialsExhausted reports whether too many trials of the query failed without any server serving
-// it. Whether their servers crashed is learned later from the store.
+// trialsExhausted reports whether maxFailedTrials trials of the query lost their connections and no
+// server served it. Whether the servers crashed is learned later from the store.
 func (q *query) trialsExhausted() bool {
 	return q.trial.failedTrials >= maxFailedTrials && q.trial.OnTrial()
 }
@@ -221,8 +224,8 @@
 	}
 }
 
-// reportCrashes tells all hosts about the servers that crashed while running the query since it was
-// last served.
+// reportCrashes tells all hosts about the servers that crashed while running the query since a
+// server last served it.
 func (q *query) reportCrashes(now time.Time) {
 	record, ok := q.trial.TakeReport()
 	if !ok {
@@ -232,7 +235,8 @@
 	q.trial.barred = q.gateway.guard.AddLocal(q.fingerprint(), record, now) == quarantine.Barred
 }
 
-// checkBarred updates whether the request is barred by this host or another.
+// checkBarred records whether the request has become barred, unless this query is its claimed
+// trial.
 func (q *query) checkBarred() {
 	if !q.trial.probation && q.gateway.guard.Standing(q.fingerprint()) == quarantine.Barred {
 		q.trial.barred = true
--- a/internal/home/dispatch.go
+++ b/internal/home/dispatch.go
@@ -20,17 +20,18 @@
 	kind    obs.AttemptKind
 	start   time.Time
 	cancel  context.CancelFunc
-	// outlivesQuery keeps the attempt running after the query has its part, as for
-	// probes.
+	// outlivesQuery is set for probes, which are not canceled when the query has its
+	// part or ends.
 	outlivesQuery bool
-	// generation is the value of query.restarts when the attempt was sent.
+	// generation is the value of query.restarts when the attempt was sent. The results of
+	// earlier generations are ignored.
 	generation int
-	// onTrial is set if the attempt is a quarantine trial: the only one of a query
-	// under which leaves crashed.
+	// onTrial is set if the attempt is a quarantine trial of a query under which leaves
+	// crashed.
 	onTrial bool
 }
 
-// attemptResult is the end of an attempt, as passed to its query.
+// attemptResult is the outcome of an attempt, as passed to its query.
 type attemptResult struct {
 	attempt *attempt
 	reply   *leafpb.ExecuteReply
@@ -88,7 +89,7 @@
 	}
 }
 
-// send acquires a slot and starts an attempt; without a free slot it does nothing.
+// send acquires a slot and starts an attempt; if no slot is free it does nothing.
 func (s *Service) send(q *query, shard, chosen int, kind obs.AttemptKind, now time.Time) {
 	replicas := q.topology.shards[shard].replicas
 	if !replicas.Acquire(chosen, now) {
@@ -116,8 +117,8 @@
 	go s.runAttempt(ctx, q, a, q.request(a))
 }
 
-// runAttempt makes the call of an attempt without holding the lock and passes the
-// result to the query.
+// runAttempt makes the call of an attempt and passes the result to the query. s.mu must
+// not be held.
 func (s *Service) runAttempt(ctx context.Context, q *query, a *attempt, request *leafpb.ExecuteRequest) {
 	defer a.cancel()
 	reply, err := s.client.Execute(ctx, a.address, request)
@@ -137,8 +138,8 @@
 }
 
 // finishAttempt releases the slot, records what the attempt showed about its leaf and
-// dispatches the attempts queued for it. The caller must call the returned function
-// after releasing the lock.
+// dispatches the attempts queued for the leaf's shards. s.mu must be held; the caller must
+// call the returned function after releasing it.
 func (s *Service) finishAttempt(t *topology, a *attempt, reply *leafpb.ExecuteReply, err error, canceled bool) func() {
 	now := time.Now()
 	sh := t.shards[a.shard]
@@ -165,8 +166,8 @@
 	return notify
 }
 
-// recordRefusal counts a refusal and, if the leaf was full, limits its slots for a
-// while.
+// recordRefusal counts a refusal and, if the leaf was full or cold, limits its slots for
+// a while.
 func (s *Service) recordRefusal(l *replica.Leaf, kind leafpb.Refusal_Kind, now time.Time) {
 	obs.CountRefusal(kind.String())
 	if kind == leafpb.Refusal_SHED || kind == leafpb.Refusal_COLD {
@@ -175,8 +176,8 @@
 }
 
 // hedge sends a second attempt for a shard whose first is late, if the budget permits
-// it and no request of the same or a higher class is queued for the shard. Without a
-// free slot the attempt is queued. hedge reports whether to try again soon.
+// it and no request of the same or a higher class is queued for the shard. If no slot is
+// free the attempt is queued. hedge reports whether the caller should try again soon.
 func (s *Service) hedge(q *query, shard int, now time.Time) bool {
 	if q.quarantine.OnTrial() && q.quarantine.trialShard != shard {
 		return true
--- a/internal/home/trial.go
+++ b/internal/home/trial.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// crashCheckTimeout bounds the Describe call that checks for a crash. It allows for
-	// several round trips to another failure domain.
+	// crashCheckTimeout bounds the Describe call that checks whether a leaf crashed. It
+	// allows for several round trips to another failure domain.
 	crashCheckTimeout = 100 * time.Millisecond
-	// trialPollInterval is how often a query that is held for a trial checks whether
-	// the trial is still needed.
+	// trialPollInterval is how often a query that waits for a trial checks whether the
+	// trial may start or is no longer needed.
 	trialPollInterval = 20 * time.Millisecond
 	// noTrialShard is the value of trialShard while no trial is running.
 	noTrialShard = -1
 )
 
 // quarantineState tracks the leaf crashes under one query. The home sees all queries of
-// its service, so nothing is shared with other hosts; a host that becomes the home
-// starts without this knowledge and may lose a few leaves to learn it again.
+// its service, so crashes are not reported to other hosts. A host that becomes the home
+// does not know of earlier crashes, and a few leaves may crash before it bars the same
+// content again.
 type quarantineState struct {
 	quarantine.Suspicion
 	// trialShard is the shard whose attempt is on trial, or noTrialShard.
 	trialShard int
 	// held are the attempts that wait for the trial to end.
 	held []heldAttempt
-	// probation is set if the content is barred and this query retries it after its
-	// probation.
+	// probation is set if the content is barred and this query is the trial that is
+	// permitted after a probation.
 	probation bool
 	// barred is set if the content was barred while the query was running.
 	barred bool
@@ -45,7 +46,7 @@
 	kind  obs.AttemptKind
 }
 
-// fingerprint identifies the content of a request and its desk.
+// fingerprint returns the fingerprint of the content and the desk of a request.
 func fingerprint(req *callerpb.AskRequest) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.Content{Host: req.GetService(), Caller: req.GetDesk(), Body: req.GetQuery()})
 }
@@ -57,7 +58,7 @@
 	if s.quarantine.Len() == 0 {
 		return state, nil
 	}
-	// The returned names matter only to a shared store, and there is none here.
+	// The returned names are those of entries to delete from a store; the home has none.
 	s.quarantine.RemoveExpired(now)
 	s.signalBarred()
 	f := fingerprint(req)
@@ -79,8 +80,8 @@
 	return state, NotRun(req, callerpb.Reason_BARRED, s.barredMessage(f), quarantine.FirstProbation)
 }
 
-// signalBarred wakes all running queries if a content became barred, since each that
-// continues may crash more leaves. s.mu must be held.
+// signalBarred wakes all running queries if any content became barred, so that those
+// with this content end before they crash more leaves. s.mu must be held.
 func (s *Service) signalBarred() {
 	for _, c := range s.quarantine.TakeChanges() {
 		if c.Now.Standing == quarantine.Barred {
@@ -90,7 +91,8 @@
 	}
 }
 
-// recheckBarred checks whether the query's own content was barred. s.mu must be held.
+// recheckBarred records whether the query's own content has become barred. s.mu must be
+// held.
 func (q *query) recheckBarred() {
 	q.quarantine.barredChanged = q.service.barredChanged
 	if !q.quarantine.probation && q.service.quarantine.Standing(fingerprint(q.req)) == quarantine.Barred {
@@ -115,9 +117,10 @@
 	return err != nil || known != 0 && reply.GetStatus().GetIncarnation() > known
 }
 
-// holdForTrial reports whether an attempt must wait for a trial and then holds it.
-// Otherwise, if a trial is needed, the attempt becomes the trial. A trial never starts
-// beside other attempts of the query: a crash would prove nothing and cost a leaf.
+// holdForTrial holds an attempt back if it must wait for a trial, and reports whether it
+// did. Otherwise, if a trial is needed, the attempt becomes the trial. A trial does not
+// start while other attempts of the query run, because a crash would then not prove that
+// this query caused it.
 func (q *query) holdForTrial(shard int, kind obs.AttemptKind, now time.Time) bool {
 	state := &q.quarantine
 	if !state.OnTrial() || q.cleared() {
@@ -144,7 +147,7 @@
 }
 
 // restartHeld starts the held attempts again. While the query is on trial, holdForTrial
-// lets one through and holds the others.
+// permits at most one of them and holds the others again.
 func (q *query) restartHeld(now time.Time) {
 	held := q.quarantine.held
 	q.quarantine.held = nil
@@ -155,15 +158,15 @@
 	}
 }
 
-// onLeafCrash records a leaf crash during an attempt. When the query has to go on
-// trial, its other attempts are canceled.
+// onLeafCrash records a leaf crash during an attempt. After several crashes, the other
+// attempts of the query are canceled.
 func (q *query) onLeafCrash(a *attempt, now time.Time) {
-	isolate, report := q.quarantine.Crashed(quarantine.Crash{Server: fmt.Sprintf("%s#%d", a.address, q.service.incarnations[a.address]), OnTrial: a.onTrial}, now)
-	if isolate {
+	cancel, report := q.quarantine.Crashed(quarantine.Crash{Server: fmt.Sprintf("%s#%d", a.address, q.service.incarnations[a.address]), OnTrial: a.onTrial}, now)
+	if cancel {
 		for _, other := range q.running {
 			other.cancel()
 		}
-		q.recordCrashes(now) // The content may be requested again before the trial ends.
+		q.recordCrashes(now) // Another query with this content may arrive before the trial ends.
 	}
 	if report {
 		q.quarantine.DelayTrial(time.Duration(q.service.rng.Int64N(int64(quarantine.MaxTrialJitter))))
@@ -171,8 +174,8 @@
 	}
 }
 
-// recordCrashes adds the crashes that no leaf has refuted by serving the query to the
-// service's quarantine, for later queries.
+// recordCrashes adds the crashes since a leaf last served the query to the quarantine of
+// the service, where other queries with the same content find them.
 func (q *query) recordCrashes(now time.Time) {
 	record, ok := q.quarantine.TakeReport()
 	if !ok {
@@ -185,7 +188,7 @@
 	q.quarantine.barred = q.service.quarantine.Standing(f) == quarantine.Barred
 }
 
-// onServed records that a leaf served the query.
+// onServed records that a leaf served the query, which ends its trial.
 func (q *query) onServed(now time.Time) {
 	if q.quarantine.Served() {
 		q.service.quarantine.Clear(fingerprint(q.req), now)
--- a/limit/cold.go
+++ b/limit/cold.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// coldUsableShare is the share of a cold server's bound that hosts use while they
-	// agree on its callers. The rest covers disagreement: while a caller is replaced, both
-	// the old and the new one call, and two of three callers may be replaced at once.
+	// coldUsableShare is the share of a cold server's bound that its callers use together. The
+	// rest is for times in which hosts disagree on who the callers are: while a caller is
+	// replaced, both the old and the new one call, and two of three callers may be replaced at
+	// once.
 	coldUsableShare = 0.6
 	// coldBurst is the number of requests that one host may send at once.
 	coldBurst = 1
@@ -16,12 +17,13 @@
 	// rounding leaves slightly less than one token.
 	coldMinWait = time.Millisecond
 	// ColdCallerDelay is how long a host must have been among the callers of a cold server
-	// before it sends requests. Hosts that start together know each other within this
-	// time.
+	// before it sends requests. Hosts that start together learn of each other within this
+	// time, and then agree on the callers.
 	ColdCallerDelay = 2 * time.Second
 )
 
-// ColdBound limits the requests that a cold server receives from all hosts together.
+// ColdBound limits the requests that a cold server, one that has just started, receives from all
+// hosts together. Only some of the hosts, its callers, send it requests.
 type ColdBound struct {
 	// PerSecond is the number of requests per second that the server tolerates; 0 means
 	// unknown, without a bound.
@@ -34,19 +36,18 @@
 // Known reports whether there is a bound.
 func (b ColdBound) Known() bool { return b.PerSecond > 0 }
 
-// usable returns how many requests hosts send in any second while they agree on the
-// callers.
+// usable returns how many requests the callers may send together in any second.
 func (b ColdBound) usable() float64 { return coldUsableShare * (b.PerSecond*b.Factor + b.Slack) }
 
-// Callers returns how many of the given number of hosts may call a cold server: at least
-// one, and beyond that so few that each may send two or more requests in any second.
+// Callers returns how many of the given number of hosts may call a cold server: as many as can
+// each send two or more requests in any second, but at least one.
 func (b ColdBound) Callers(hosts int) int {
 	return min(hosts, max(1, int(b.usable()/(2*coldBurst))))
 }
 
-// Rate returns the requests per second that each of the given number of callers may send.
-// With its burst, a caller sends at most coldBurst more in any second. A rate of 0 or less
-// permits none.
+// Rate returns the rate, per second, at which each of the given number of callers may send
+// requests. Because of its burst, a caller may send coldBurst more than that in any second. A rate
+// of 0 or less permits none.
 func (b ColdBound) Rate(callers int) float64 {
 	return b.usable()/float64(max(callers, 1)) - coldBurst
 }
@@ -63,7 +64,7 @@
 	callerSince time.Time
 }
 
-// SetCaller records whether the host is among the callers.
+// SetCaller records whether the host is among the callers of the server.
 func (c *ColdLimiter) SetCaller(caller bool, now time.Time) {
 	switch {
 	case !caller:
@@ -74,7 +75,7 @@
 	}
 }
 
-// IsCaller reports whether the host is among the callers.
+// IsCaller reports whether the host is among the callers of the server.
 func (c *ColdLimiter) IsCaller() bool { return !c.callerSince.IsZero() }
 
 // Take reports whether a request may be sent now, where tokens fill at rate per second.
--- a/quarantine/standing.go
+++ b/quarantine/standing.go
@@ -9,11 +9,11 @@
 
 const (
 	// MinCrashes is the number of servers that must crash under a request before it is
-	// barred, which is the number that users accept.
+	// barred. The loss of this many servers to one request is accepted.
 	MinCrashes = 3
 	// MinTrialCrashes is the number of those servers that must crash on trial. One is not enough:
-	// two requests that lost the same servers may go on trial at the same server at the same
-	// time.
+	// if the same servers crashed under two requests, both may go on trial at the same server at
+	// the same time.
 	MinTrialCrashes = 2
 )
 
@@ -23,7 +23,7 @@
 const (
 	// Clear means that no crash is attributed to the request.
 	Clear Standing = iota
-	// Suspect means that servers crashed. The request is sent to one server alone first.
+	// Suspect means that servers crashed under the request. It is sent to one server alone first.
 	Suspect
 	// Barred means that the request is not sent to any server, except on a claimed trial.
 	Barred
@@ -48,16 +48,21 @@
 	// once for each.
 	Crashes int
 	// Hosts are the hosts that have a record of the request.
-	Hosts   []string
+	Hosts []string
+	// Servers are the servers that crashed.
 	Servers []string
 	// Trials are the servers that crashed on trial.
-	Trials      []string
-	Versions    []string
+	Trials []string
+	// Versions are the software versions of the servers that crashed.
+	Versions []string
+	// Description describes the request to operators.
 	Description string
-	LastCrash   int64
+	// LastCrash is the time of the last crash, in Unix milliseconds.
+	LastCrash int64
 	// Claims is the number of claimed trials.
 	Claims int
-	// AttributedTo are the barred requests to which crashes of its servers are attributed instead.
+	// AttributedTo are other barred requests to which some of the crashes are attributed instead.
+	// These crashes do not count for Standing.
 	AttributedTo []Fingerprint
 }
 
@@ -67,8 +72,8 @@
 	records map[string]Record
 	// claims is the set of claimed trials.
 	claims map[string]bool
-	// firstSeen is the time of the first record or claim here; barredSince is zero unless the
-	// records bar the request.
+	// firstSeen is the time at which this host learned of the first record or claim. barredSince
+	// is the time since which summary.Standing is Barred; zero if it is not.
 	firstSeen, barredSince time.Time
 	// lastReport is the time at which the last record arrived.
 	lastReport time.Time
@@ -77,7 +82,8 @@
 	servedAt time.Time
 	// summary merges the records, with the standing that follows from them alone.
 	summary Summary
-	// standing is the effective standing, without the crashes attributed to attributedTo.
+	// standing is the effective standing, which follows from the crashes that are not attributed
+	// to the requests in attributedTo.
 	standing     Standing
 	attributedTo []Fingerprint
 }
@@ -102,7 +108,7 @@
 	return s
 }
 
-// union appends the elements of b that a does not contain to a.
+// union appends to a the elements of b that it does not contain.
 func union(a, b []string) []string {
 	for _, s := range b {
 		if !slices.Contains(a, s) {
@@ -112,7 +118,8 @@
 	return a
 }
 
-// standingOf returns the standing that follows from the crashed servers.
+// standingOf returns the standing that follows from the crashed servers and those of them that
+// crashed on trial.
 func standingOf(servers, trials []string) Standing {
 	switch {
 	case len(servers) >= MinCrashes && len(trials) >= MinTrialCrashes:
@@ -126,8 +133,8 @@
 // crashedServers returns all servers in the summary.
 func (s Summary) crashedServers() []string { return union(slices.Clone(s.Servers), s.Trials) }
 
-// outweighs reports whether a crash shared by two requests is attributed to s rather than other:
-// hosts saw more crashes under s. The lower fingerprint breaks ties.
+// outweighs reports whether a crash under two requests is attributed to s and not to other, because
+// hosts saw more crashes under s. If they saw equally many, the lower fingerprint decides.
 func (s Summary) outweighs(other Summary) bool {
 	if s.Crashes != other.Crashes {
 		return s.Crashes > other.Crashes
@@ -168,18 +175,19 @@
 	b.updateRelated(h.summary)
 }
 
-// updateRelated updates the standings of the requests that share crashed servers with one that is
-// or was barred.
-func (b *Book) updateRelated(by Summary) {
-	if by.Standing != Barred {
+// updateRelated updates the standings of the requests that share crashed servers with s. It does
+// nothing unless s is barred, because crashes are attributed to barred requests only.
+func (b *Book) updateRelated(s Summary) {
+	if s.Standing != Barred {
 		return
 	}
-	for f := range b.requestsSharing(by) {
+	for f := range b.requestsSharing(s) {
 		b.updateStanding(f)
 	}
 }
 
-// updateStanding recomputes the effective standing of a request and records a change of it.
+// updateStanding recomputes the effective standing of a request, and records the change if there is
+// one.
 func (b *Book) updateStanding(f Fingerprint) {
 	h := b.histories[f]
 	before := h.standing
@@ -194,26 +202,26 @@
 	}
 }
 
-// attributedStanding returns the standing of a request that follows from the crashes that are not
-// attributed to other barred requests, and those requests. A crash has one cause, but every request
-// that the process ran sees it: without attribution, two requests on trial at the same server at
-// the same time would both be barred.
+// attributedStanding returns the standing that follows from the crashes of s that are not attributed
+// to other barred requests, and those other requests. A crash has one cause but is recorded for
+// every request that the process ran: without attribution, two requests on trial at the same server
+// at the same time would both be barred.
 func (b *Book) attributedStanding(s Summary) (Standing, []Fingerprint) {
 	if s.Standing != Barred {
 		return s.Standing, nil
 	}
-	var by []Fingerprint
+	var attributedTo []Fingerprint
 	for f := range b.requestsSharing(s) {
 		other := b.histories[f].summary
 		if other.Standing == Barred && other.outweighs(s) {
 			s.Servers, s.Trials = difference(s.Servers, other.Servers), difference(s.Trials, other.Servers)
-			by = append(by, f)
+			attributedTo = append(attributedTo, f)
 		}
 	}
-	return max(standingOf(s.Servers, s.Trials), Suspect), by
+	return max(standingOf(s.Servers, s.Trials), Suspect), attributedTo
 }
 
-// requestsSharing returns the other requests that a crashed server of s ran.
+// requestsSharing returns the other requests that a crashed server of s was running.
 func (b *Book) requestsSharing(s Summary) map[Fingerprint]bool {
 	found := map[Fingerprint]bool{}
 	for _, server := range s.crashedServers() {
--- a/replica/set.go
+++ b/replica/set.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// outlierFactor is the multiple of another replica's latency from which a replica
+	// outlierFactor is the multiple of another replica's latency above which a replica
 	// is an outlier.
 	outlierFactor = 3
 	// ProbeInterval is the default interval at which an avoided replica gets one
 	// idempotent request.
 	ProbeInterval = time.Second
-	// lossCalls is the cost of a refused or failed request, in latencies of the fastest
-	// replica: its detection, the retry, and the retry budget that it uses.
-	lossCalls = 6
+	// lossPenalty is the cost of a refused or failed request, as a multiple of the latency
+	// of the fastest replica. It covers the time to notice the loss, the retry, and the
+	// retry budget that it uses.
+	lossPenalty = 6
 	// minOutlierLatency is the latency up to which a replica is never an outlier.
 	minOutlierLatency = time.Millisecond
 )
@@ -25,7 +26,7 @@
 type Policy int
 
 const (
-	// Observed chooses the replica with the lowest expected cost, from observed latency, load
+	// Observed chooses the replica with the lowest cost expected from observed latency, load
 	// and failures.
 	Observed Policy = iota
 	// Random chooses any free replica, as a baseline for comparison.
@@ -39,7 +40,7 @@
 type Leaf struct {
 	Address string
 	Domain  string
-	// Leaving forbids new requests.
+	// Leaving is set while the leaf must not get new requests.
 	Leaving bool
 	Slots   limit.Slots
 	// Hosts is the number of hosts that send requests to the leaf; 0 means 1.
@@ -47,13 +48,14 @@
 	// DistancePenalty is added to the latency when replicas are compared. It stands for the
 	// cost of the network path beyond its latency.
 	DistancePenalty time.Duration
-	// Concurrency is the number of requests that the leaf runs concurrently; 0 means 1.
+	// Concurrency is the number of requests that the leaf runs concurrently, while others
+	// queue there; 0 means 1.
 	Concurrency int
 
 	// latency is the smoothed latency; 0 is unknown.
 	latency time.Duration
-	// lastProgress is the time of the last reply or failure, or that at which the leaf last
-	// got a request while it ran none of this host.
+	// lastProgress is the time of the last reply or failure, or of the last request that was
+	// sent while no other request of this host was in flight at the leaf, if later.
 	lastProgress        time.Time
 	consecutiveFailures int
 	// lossRate is the smoothed fraction of requests that the leaf refused or failed.
@@ -70,16 +72,16 @@
 	// absentSince. The leaf is not tried again before redialAt.
 	refusedConns          int
 	absentSince, redialAt time.Time
-	// queueLen is the number of requests that waited at the leaf when it last reported its
-	// queue, at queueReportedAt. reportInterval is the smoothed interval between reports.
+	// queueLen is the number of requests that waited at the leaf according to its last report,
+	// at queueReportedAt. reportInterval is the smoothed interval between reports.
 	queueLen        int
 	queueReportedAt time.Time
 	reportInterval  time.Duration
 	// serviceTime is the smoothed run time of a request at the leaf, without queueing and
 	// divided by the slowdown of the machine.
 	serviceTime time.Duration
-	// slowdown is the factor by which the leaf's machine was slower than usual, as the leaf
-	// last reported at slowdownReportedAt.
+	// slowdown is the factor by which the leaf's machine was slower than usual according to
+	// the last report of the leaf, at slowdownReportedAt; 0 if there was none.
 	slowdown           float64
 	slowdownReportedAt time.Time
 	// reportedLatency is the latency that another host reported; it is valid until reportExpiry.
@@ -123,9 +125,10 @@
 	return best
 }
 
-// worthWaiting reports whether a busy replica is expected to answer sooner, after its queue,
-// than the replica with index free. Other free replicas are not considered: they were not chosen
-// because of their cost, and a request that waited for one would leave both replicas idle.
+// worthWaiting reports whether a busy replica is expected to answer sooner than the replica with
+// index free, even after the requests queued for it. Other free replicas are not considered: Pick
+// found their cost to be no lower, and a request that waited for one of them would leave both it
+// and the replica with index free idle.
 func (s *Set) worthWaiting(free int, now time.Time, waiting int, exclude uint64) bool {
 	latency := s.Expected(free, now)
 	if latency <= minOutlierLatency {
@@ -136,9 +139,9 @@
 		if i == free || !s.usable(i, now, exclude) || leaf.latency == 0 || leaf.Slots.Free(now) {
 			continue
 		}
-		limit := max(leaf.Slots.Limit(now), 1)
+		slotLimit := max(leaf.Slots.Limit(now), 1)
 		expected := s.Expected(i, now)
-		afterQueue := expected + expected*time.Duration(waiting+1)/time.Duration(limit)
+		afterQueue := expected + expected*time.Duration(waiting+1)/time.Duration(slotLimit)
 		if latency > outlierFactor*expected && latency > afterQueue {
 			return true
 		}
@@ -146,7 +149,8 @@
 	return false
 }
 
-// pickRandom returns a random free replica that is allowed; None if there is none.
+// pickRandom returns the index of a random replica that is allowed and has a free slot; None if
+// there is none.
 func (s *Set) pickRandom(now time.Time, exclude uint64) int {
 	free := 0
 	for i := range s.Leaves {
@@ -170,8 +174,8 @@
 	return None
 }
 
-// Reachable reports whether any replica outside exclude may get a request, now
-// or when a slot becomes free.
+// Reachable reports whether any replica outside the bit set exclude may get a request,
+// now or when a slot becomes free.
 func (s *Set) Reachable(exclude uint64) bool {
 	for i := range s.Leaves {
 		if s.allowed(i, exclude) {
@@ -181,8 +185,8 @@
 	return false
 }
 
-// Probe returns the index of an avoided replica that was not probed for the
-// duration every, and records a probe of it; None if there is none.
+// Probe returns the index of an avoided replica with a free slot whose last probe is at
+// least the duration every ago, and records a probe of it now; None if there is none.
 func (s *Set) Probe(now time.Time, exclude uint64, every time.Duration) int {
 	if s.policy == Random {
 		return None
@@ -201,7 +205,7 @@
 }
 
 // AvoidedMask returns the bit set of replicas that are ejected or much slower than
-// another one, so that a retry or a hedge there would not be faster.
+// another one, where a retry or a hedge is not expected to be faster.
 func (s *Set) AvoidedMask(now time.Time) uint64 {
 	var mask uint64
 	for i := range s.Leaves {
@@ -212,7 +216,8 @@
 	return mask
 }
 
-// avoided reports whether replica i is ejected or an outlier compared with any other.
+// avoided reports whether replica i is ejected, or is an outlier compared with any other
+// replica.
 func (s *Set) avoided(i int, now time.Time) bool {
 	leaf := s.Leaves[i]
 	if now.Before(leaf.ejectedUntil) {
@@ -236,8 +241,8 @@
 	return exclude&(1<<i) == 0 && !s.Leaves[i].Leaving
 }
 
-// usable reports whether replica i may be chosen. An ejected one may be only if all
-// allowed replicas are ejected.
+// usable reports whether replica i may be chosen. An ejected replica may be chosen only if
+// all allowed replicas are ejected.
 func (s *Set) usable(i int, now time.Time, exclude uint64) bool {
 	if !s.allowed(i, exclude) {
 		return false
@@ -257,7 +262,7 @@
 func (s *Set) cost(i int, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
 	parallel := max(leaf.Concurrency, 1)
-	lossCost := time.Duration(leaf.lossRate * lossCalls * float64(s.lowestLatency(None)))
+	lossCost := time.Duration(leaf.lossRate * lossPenalty * float64(s.lowestLatency(None)))
 	run := s.runTime(i, now) * time.Duration(leaf.Slots.InUse()+parallel) / time.Duration(parallel)
 	return run + leaf.DistancePenalty + lossCost + s.remoteQueueWait(i, now)
 }
--- a/replica/wait.go
+++ b/replica/wait.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// queueHalfLife is the half-life of a reported queue length. If reports are rarer, the
-	// half-life is halfLifeIntervals times their interval, so that the queue does not decay
-	// to nothing between two reports.
+	// queueHalfLife is the minimum half-life of a reported queue length. If reports are rare,
+	// the half-life is halfLifeIntervals times their interval, so that the estimate does not
+	// decay to nothing between two reports.
 	queueHalfLife     = 150 * time.Millisecond
 	halfLifeIntervals = 2
-	// intervalWeight is the weight of a new sample of the report interval; samples are
-	// bounded by maxReportInterval.
+	// intervalWeight is the weight of a new sample in the moving average of the report
+	// interval; samples are bounded by maxReportInterval.
 	intervalWeight    = 0.2
 	maxReportInterval = 2 * time.Second
-	// slowRunFraction is the fraction of the objective above which the run time of a leaf
-	// is long.
+	// slowRunFraction is the fraction of the objective above which WouldBeLate considers the
+	// run time of a leaf long.
 	slowRunFraction = 0.25
 	// maxIdleQueue is the estimated queue length up to which a leaf is considered idle; the
 	// estimate decays and does not reach 0.
 	maxIdleQueue = 0.5
-	// serviceTimeWeight is the weight of a new sample of the service time.
+	// serviceTimeWeight is the weight of a new sample in the moving average of the service
+	// time.
 	serviceTimeWeight = 0.1
 	// slowdownHalfLife is the half-life of a reported slowdown. It is short because other
 	// processes on the machine start and stop several times a second.
@@ -29,8 +30,8 @@
 )
 
 // ReportSlowdown records the factor by which a leaf reports its machine to be slower than usual.
-// The service time is kept without this factor, so that it does not stay high after a noisy
-// neighbour is gone.
+// The smoothed service time excludes this factor, so that it does not stay high after the other
+// processes that slowed the machine down have ended.
 func (s *Set) ReportSlowdown(i int, factor float64, now time.Time) {
 	s.Leaves[i].slowdown, s.Leaves[i].slowdownReportedAt = factor, now
 }
@@ -66,9 +67,10 @@
 	return sample
 }
 
-// Wait estimates how long a request would wait at a leaf before it runs, from the reported
-// queue or the requests of this host in flight there, whichever is longer. If this host has no
-// free slot, all hosts that share the leaf are assumed to use as many slots.
+// Wait estimates how long a request would wait at a leaf before it runs. The number of requests
+// queued before it is estimated from the reported queue and from this host's own requests in
+// flight, whichever gives more. If this host has no free slot, every host that shares the leaf is
+// assumed to use as many slots as this one.
 func (s *Set) Wait(i int, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
 	ahead := max(leaf.reportedQueue(now), leaf.localQueue())
@@ -84,9 +86,9 @@
 	return leaf.queueWait(max(leaf.reportedQueue(now)-leaf.localQueue(), 0))
 }
 
-// runTime returns the expected run time of a request at a leaf, without queueing if the leaf
-// reports its load. While requests are in flight it is at least the time since the leaf last
-// made progress.
+// runTime returns the expected run time of a request at a leaf. It excludes the time in the queue
+// only if the leaf reports its load. While requests of this host are in flight there, it is at least
+// the time since the leaf last made progress.
 func (s *Set) runTime(i int, now time.Time) time.Duration {
 	leaf := s.Leaves[i]
 	if leaf.serviceTime == 0 {
@@ -111,33 +113,36 @@
 	return float64(l.queueLen) * math.Exp2(-float64(now.Sub(l.queueReportedAt))/float64(halfLife))
 }
 
-// localQueue returns the number of this host's requests in flight that exceed the
-// parallelism of the leaf.
+// localQueue returns how many requests this host has in flight at the leaf beyond those that the
+// leaf runs concurrently.
 func (l *Leaf) localQueue() float64 {
 	return float64(max(l.Slots.InUse()-max(l.Concurrency, 1), 0))
 }
 
-// queueWait returns the time until a request runs that has ahead others queued before it.
+// queueWait returns the time until a request runs if the given number of others is queued ahead of
+// it.
 func (l *Leaf) queueWait(ahead float64) time.Duration {
 	return time.Duration(ahead * float64(l.serviceTime) / float64(max(l.Concurrency, 1)))
 }
 
-// TimeBudget is the deadline of the partial result that a call returns.
+// TimeBudget is the time available for the partial result, or part, that a call returns.
 type TimeBudget struct {
 	// Objective is the latency objective of the whole request.
 	Objective time.Duration
-	// Remaining is the remaining time for the part; 0 if it is late already or not needed.
+	// Remaining is the remaining time for the part; 0 or less if the part is late already or not
+	// needed.
 	Remaining time.Duration
 }
 
-// WouldBeLate reports whether a request to a leaf with a long run time would miss its deadline
-// because of the requests queued before it, and how long these are expected to take. A request
-// to an idle leaf is never too late. One that is late already or not needed yields to all
-// others: it is too late also if the leaf runs anything for this host.
+// WouldBeLate reports whether a request to a leaf with a long run time would exceed its time budget
+// because of the requests queued before it, and how long it is expected to wait for these. Without a
+// queue at the leaf, a request with time remaining is never too late. One that is late already or
+// not needed gives way to all others: it is too late also if any request of this host is in flight
+// at the leaf.
 //
-// This keeps the queue of a slow leaf short enough that some requests meet their deadline. It
-// does not apply to fast leaves, whose run times are not known precisely enough: requests that
-// could be in time would be delayed.
+// Callers do not send requests that would be late, which keeps the queue of a slow leaf short enough
+// that some requests are in time. This does not apply to leaves with short run times, which are not
+// known precisely enough: requests that could be in time would be delayed.
 func (s *Set) WouldBeLate(i int, timeBudget TimeBudget, now time.Time) (wait time.Duration, late bool) {
 	run := s.runTime(i, now)
 	if run <= time.Duration(slowRunFraction*float64(timeBudget.Objective)) {
@@ -151,10 +156,10 @@
 	return wait, wait > idle && wait+run > timeBudget.Remaining
 }
 
-// EarliestCompletion estimates the completion time of a request, from now, at the leaf that would
-// complete it first, and its run time there. 0 means unknown, as for a leaf that has just started,
-// and compares as fastest. If all leaves are ejected or excluded, both are math.MaxInt64. Leaves in
-// the bit set exclude are not considered.
+// EarliestCompletion estimates how long a request would take, with the wait, at the leaf that would
+// complete it first, and its run time there. An estimate of 0 means unknown, as for a leaf that has
+// just started, and compares as fastest. Leaves that are ejected, leaving or in the bit set exclude
+// are not considered; if there are no others, both results are math.MaxInt64.
 func (s *Set) EarliestCompletion(exclude uint64, now time.Time) (expected, run time.Duration) {
 	expected, run = math.MaxInt64, math.MaxInt64
 	for i := range s.Leaves {
--- a/scarcity/scarcity.go
+++ b/scarcity/scarcity.go
@@ -11,12 +11,12 @@
 	// slowFactor is how many times longer than the median shard of a query a shard must
 	// take to be scarce.
 	slowFactor = 3
-	// minSlowShare is the share of the objective up to which no shard is scarce: its parts
-	// arrive in time however fast the other shards are.
+	// minSlowShare is the service time, as a share of the objective, up to which no shard is
+	// scarce: its parts arrive in time, even if the other shards are much faster.
 	minSlowShare = 0.25
-	// maxSequential is the largest number of missing scarce shards up to which a query asks
-	// no more than it needs. A query that misses more would run out of time by asking
-	// replacements one after the other.
+	// maxSequential is the largest number of scarce shards that a query may need and still
+	// ask no more than it needs. A query that needs more would run out of time by asking
+	// replacements one after the other, and asks all of them.
 	maxSequential = 3
 )
 
@@ -40,9 +40,10 @@
 type Verdict int
 
 const (
-	// Ask means that the shard is asked, even if requests wait at its servers.
+	// Ask means that the shard is asked, even if other requests wait for its servers.
 	Ask Verdict = iota
-	// AskIfIdle means that the shard is asked only where that displaces no other request.
+	// AskIfIdle means that the shard is asked only at servers where that displaces no other
+	// request.
 	AskIfIdle
 	// Skip means that the shard is not asked for now.
 	Skip
@@ -52,8 +53,9 @@
 type Shard struct {
 	State State
 	// ServiceTime is the processing time of the server that is expected to answer first; Expected
-	// adds the wait there. 0 means unknown, which counts as fast. Only ServiceTime makes a shard
-	// scarce, because the wait changes too quickly while all servers are busy.
+	// is the sum of it and the wait there. 0 means unknown, which counts as fast. Only ServiceTime
+	// decides whether a shard is scarce, because the wait changes too quickly while all servers
+	// are busy.
 	ServiceTime, Expected time.Duration
 }
 
@@ -68,11 +70,12 @@
 
 // Requirements are the requirements of one query.
 type Requirements struct {
-	// Needed is the number of shards that the answer must contain. Spare is the number
-	// that may be missing from an answer to any query over the same shards.
+	// Needed is the number of shards whose parts the answer must contain. MaxMissing is the
+	// largest number of parts that may be missing from the answer to any query over the same
+	// shards, not only to this one.
 	Needed, MaxMissing int
-	// Objective is the time within which an answer has its full value, Remaining what remains
-	// of it.
+	// Objective is the time within which an answer has its full value; Remaining is the part
+	// of it that is left.
 	Objective, Remaining time.Duration
 }
 
@@ -105,9 +108,9 @@
 	return verdicts
 }
 
-// verdictsIfUnneeded fills in the verdicts of a query that needs no scarce shard. It skips
-// them if more are scarce than any answer may lack, that is if other queries need them: a slot
-// there can make another answer sufficient but adds only one more part to this one.
+// verdictsIfUnneeded fills in the verdicts of a query that needs no scarce shard. It skips all
+// scarce shards if there are more of them than maxMissing, because then other queries need some of
+// them: a slot there can make another answer sufficient, but adds only one more part to this one.
 func (o *AskOrder) verdictsIfUnneeded(verdicts []Verdict, scarce []bool, maxMissing int) []Verdict {
 	verdict, count := AskIfIdle, 0
 	for _, s := range scarce {
@@ -128,7 +131,7 @@
 
 // candidates returns the scarce shards that may be asked now: first those that are expected
 // to answer in time, in the random order, which spreads queries over them, then the others
-// by expected time, so that no time is spent on shards without a usable server.
+// by expected time. Shards without a usable server therefore come last.
 func (o *AskOrder) candidates(shards []Shard, scarce []bool, remaining time.Duration) []int {
 	var inTime, late []int
 	for _, i := range o.order {
@@ -147,15 +150,15 @@
 // findScarce reports for each shard whether it is scarce.
 func findScarce(shards []Shard, objective time.Duration) []bool {
 	scarce := make([]bool, len(shards))
-	limit := max(slowFactor*medianRun(shards), time.Duration(minSlowShare*float64(objective)))
+	limit := max(slowFactor*medianServiceTime(shards), time.Duration(minSlowShare*float64(objective)))
 	for i, s := range shards {
 		scarce[i] = s.ServiceTime > limit
 	}
 	return scarce
 }
 
-// medianRun returns the median run time, where unknown ones count as 0.
-func medianRun(shards []Shard) time.Duration {
+// medianServiceTime returns the median service time, where unknown ones count as 0.
+func medianServiceTime(shards []Shard) time.Duration {
 	if len(shards) == 0 {
 		return 0
 	}
@@ -167,8 +170,8 @@
 	return times[len(times)/2]
 }
 
-// countWithoutScarce returns the number of shards that are covered or, if not scarce, may
-// still be.
+// countWithoutScarce returns the number of shards that are covered, or are not scarce and may
+// still become covered.
 func countWithoutScarce(shards []Shard, scarce []bool) int {
 	n := 0
 	for i, s := range shards {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -58,7 +58,7 @@
 TestWindowHoldsOverAnySpan@retry/window.go@s/> permitted \|\| .*permitted \{/> 2*permitted {/@the window permits too many extra attempts
 TestOneSilentServerOfARelayCostsOneHedge@internal/gateway/query.go@s/maxSoftTimeoutShare = 0.2/maxSoftTimeoutShare = 0.9/@a relay delays its first reply
 TestRequestThatReachesNobodyIsRefusedSoon@internal/gateway/query.go@s/return q.reachedServer \|\| q.running\(\)/return true/@a call that reached no server counts as an offer
-TestRefusingReplicaIsChosenLess@replica/set.go@s/lossCalls = 6/lossCalls = 0/@refusals do not affect replica selection
+TestRefusingReplicaIsChosenLess@replica/set.go@s/lossPenalty = 6/lossPenalty = 0/@refusals do not affect replica selection
 TestLateExtraAnswerBelongsToNobody@internal/httppool/pool.go@s/!r.Matches\(head\)/false/@a late answer to another request is accepted
 TestBrokenAnswersAreErrors@internal/httppool/pool.go@s/return nil, fmt.Errorf\("%w: %w", errTruncated, err\)/return body, nil/@a truncated answer is accepted
 TestBytesAfterAnAnswerEndTheConnection@internal/httppool/pool.go@s/ && c.reader.Buffered\(\) == 0//; s/ && isOpenAndEmpty\(c.Conn\)//@a connection with unexpected bytes is reused
@@ -82,7 +82,7 @@
 TestEjectedReplicaIsReportedSlow@replica/report.go@s/silent \|\| o.Ejected/silent/@a server that fails fast is reported as healthy
 TestFollowerOfACutLeaderLearnsAfterACompaction@internal/control/follow.go@s/if errors.Is\(err, ErrCompacted\) \{/if false {/@a compacted history counts as a lost store
 TestThreeTimesTheCallers@internal/gateway/serve.go@s/if refused, ok := q.admit\(time.Now\(\)\); !ok \{/if refused, ok := q.admit(time.Now()); !ok && false {/@no request is refused under overload
-TestRelayTellsRefusalsAtOnce@internal/gateway/relay.go@s/refusals = time.After\(refusalReplyDelay\)/refusals = nil/@refusals are delayed until the parts are sent
+TestRelayTellsRefusalsAtOnce@internal/gateway/relay.go@s/failureReplyDue = time.After\(failureReplyDelay\)/failureReplyDue = nil/@refusals are delayed until the parts are sent
 TestQueueIsRememberedBetweenRareReports@replica/wait.go@s/halfLifeIntervals\*l.reportInterval/0*l.reportInterval/@the estimate of a queue decays between rare reports
 TestReplicaThatLosesAnswersIsChosenLess@replica/eject.go@s/\tleaf.lossRate \+= ewmaWeight \* \(1 - leaf.lossRate\)\n//@failures do not affect replica selection
 TestFloodOfTheLowerRankLeavesTheHigherAlone@admission/gate.go@s/floorShare\*\(1-g.refusedShare\)\*g.offeredWork\(\)\/r.work/0.2/@the guaranteed share of a rank grows with its demand
@@ -111,7 +111,7 @@
 TestUnreadableEntryNamesNoServer@internal/control/state.go@s/s.registry.Drop\(e.Name\)/false/@the previous entry stays in use
 TestOnlyColdServersAreLeft@internal/gateway/cold.go@s/if wait, ok := b.cold.Take\(.*\n\t\treturn &coldError\{wait: wait\}\n\t\}/_ = b/@a cold server gets as many requests as the others
 TestColdServerGetsNoMoreThanItTakes@limit/cold.go@s/coldUsableShare = 0.6/coldUsableShare = 1.5/@the hosts together give cold servers too many requests
-TestFreeReplicaIsNotWaitedFor@replica/set.go@s/ \|\| leaf.Slots.Free\(now\) \{\n\t\t\tcontinue\n\t\t\}\n\t\tlimit/ {\n\t\t\tcontinue\n\t\t}\n\t\tlimit/@a query waits although a replica is free
+TestFreeReplicaIsNotWaitedFor@replica/set.go@s/ \|\| leaf.Slots.Free\(now\) \{\n\t\t\tcontinue\n\t\t\}\n\t\tslotLimit/ {\n\t\t\tcontinue\n\t\t}\n\t\tslotLimit/@a query waits although a replica is free
 TestIdleTimeIsNoSilenceOfAServer@internal/gateway/pick.go@s/\tg.set.Acquire\(i, now\)\n/\tb.leaf.Slots.Acquire(now)\n/@idle time before a call counts as silence
 TestHostThatIsCutOffRefusesWhatItCannotServe@internal/gateway/reach.go@s/return lost > 0/return false/@an isolated host queues requests that it cannot serve
 TestRequestThatEndsServersIsTurnedAway@quarantine/suspicion.go@s/return s.served == 0 && s.suspected \|\| s.unreported.Crashes > s.served/return false/@a query during which servers ended is not held back
