--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -55,7 +55,7 @@
 	defer stopCalls()
 	for i, id := range m.GetServerIds() {
 		if barred {
-			results <- indexedResult{i, result{outcome: relaypb.Outcome_NOT_SENT, barred: true, reason: "the relay knows the request to be barred: servers exit when they run it"}}
+			results <- indexedResult{i, result{outcome: relaypb.Outcome_NOT_SENT, barred: true, reason: "the relay knows the request to be barred: servers crash when they run it"}}
 			continue
 		}
 		if m.GetDueUs() > 0 && !slices.Contains(m.GetKnownSlow(), uint32(i)) && g.slowReports.isSlow(id) {
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -98,7 +98,7 @@
 	trialDeadline = quarantine.TrialWaitDeadline(trialDeadline, q.request.Arrived, q.end)
 	q.trial.Suspect(trialDeadline)
 	if trialDeadline.After(q.dispatchBy) {
-		q.cause, q.failure = CauseSuspect, "servers ended under this request, and its trial by another query is not decided yet"
+		q.cause, q.failure = CauseSuspect, "servers crashed while running this request, and the trial of it by another query has not ended yet"
 		q.dispatchBy = trialDeadline.Add(q.maxHedgeDelay())
 	}
 }
@@ -116,7 +116,7 @@
 func (q *query) barredAnswer() Answer {
 	known := q.gateway.guard.CountRefusal(q.fingerprint())
 	q.trace.fingerprint = known.Fingerprint.String()
-	reason := fmt.Sprintf("%d servers ended under this request (fingerprint %v, seen by %v): fix the servers, then run mallowgap quarantine clear",
+	reason := fmt.Sprintf("%d servers crashed while running this request (fingerprint %v, seen by %v): fix the servers, then run mallowgap quarantine clear",
 		known.Crashes, known.Fingerprint, known.Hosts)
 	if q.dispatched() {
 		return Answer{Outcome: Failed, Cause: CauseBarred, Reason: reason}
