--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -46,7 +46,8 @@
 	// have crashed; failedTrials counts those of them that were trials.
 	brokenCalls  []quarantine.Crash
 	failedTrials int
-	// heldShards lists the shards to which no attempt is sent until a server has served the query.
+	// heldShards lists the shards to which attempts are postponed for a limited time, and are sent
+	// earlier if a server serves the query.
 	heldShards []int
 }
 
--- a/internal/home/dispatch.go
+++ b/internal/home/dispatch.go
@@ -23,8 +23,8 @@
 	// outlivesQuery is set for probes, which are not canceled when the query has its
 	// part or ends.
 	outlivesQuery bool
-	// generation is the value of query.restarts when the attempt was sent. The results of
-	// earlier generations are ignored.
+	// generation is the value of query.restarts when the attempt was sent. Parts of
+	// earlier generations are not used.
 	generation int
 	// onTrial is set if the attempt is a quarantine trial of a query under which leaves
 	// crashed.
