--- a/scarcity/oracle_test.go
+++ b/scarcity/oracle_test.go
@@ -160,9 +160,8 @@
 }
 
 // Queries that need one or two scarce shards reach 0.8 of the upper bound with current
-// observations and 0.6 with observations three seconds old. In the last three rows each query needs
-// more than three, and slots also go to queries that remain incomplete: lower shares are required
-// there. In every row the result must be no worse than without Decide, up to a tolerance of 0.02.
+// observations and 0.6 with observations three seconds old; those that need more than three reach
+// lower shares. The result must never be worse than without Decide by more than 0.02.
 func TestShareOfTheBestPossible(t *testing.T) {
 	for _, row := range []struct {
 		model
